--- a/fleet/src/main/java/marlford/consensus/FrameTransport.java
+++ b/fleet/src/main/java/marlford/consensus/FrameTransport.java
@@ -1,6 +1,5 @@
 package marlford.consensus;
 
-import deckfall.accept.AcceptRetry;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -20,6 +19,7 @@
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.accept.AcceptRetry;
 
 /**
  * Frames over TCP: four bytes of length, one of type, then a CBOR body. There is no authentication, so the port must
--- a/fleet/src/main/java/marlford/fleet/Fleet.java
+++ b/fleet/src/main/java/marlford/fleet/Fleet.java
@@ -1,8 +1,5 @@
 package marlford.fleet;
 
-import deckfall.net.Inside;
-import deckfall.net.ListTurn;
-import deckfall.net.Usage;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,6 +16,9 @@
 import marlford.consensus.MonotonicClock;
 import marlford.consensus.RequestSender;
 import marlford.consensus.Voter;
+import marlford.gateway.net.Inside;
+import marlford.gateway.net.ListTurn;
+import marlford.gateway.net.Usage;
 import marlford.lease.Member;
 import marlford.lease.Reply;
 import marlford.task.FleetTask;
--- a/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
+++ b/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
@@ -1,11 +1,11 @@
 package marlford.fleet;
 
-import deckfall.Gateway.Outcome;
-import deckfall.net.Inside;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.net.Inside;
 import marlford.health.ProbeResult;
 import marlford.health.ProbeResultFilter;
 import marlford.health.Prober;
--- a/fleet/src/main/java/marlford/fleet/Main.java
+++ b/fleet/src/main/java/marlford/fleet/Main.java
@@ -1,7 +1,5 @@
 package marlford.fleet;
 
-import deckfall.net.Extras;
-import deckfall.net.Node;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.LocalTime;
@@ -12,6 +10,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import marlford.gateway.net.Extras;
+import marlford.gateway.net.Node;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ExitCode;
--- a/fleet/src/main/java/marlford/fleet/SharedListPolling.java
+++ b/fleet/src/main/java/marlford/fleet/SharedListPolling.java
@@ -1,8 +1,8 @@
 package marlford.fleet;
 
-import deckfall.net.ListTurn;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
+import marlford.gateway.net.ListTurn;
 import marlford.lease.Member;
 import marlford.polling.SingleFlightPoll;
 
--- a/fleet/src/main/java/marlford/fleet/UsageExporter.java
+++ b/fleet/src/main/java/marlford/fleet/UsageExporter.java
@@ -1,6 +1,5 @@
 package marlford.fleet;
 
-import deckfall.net.Usage;
 import java.io.IOException;
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
@@ -15,6 +14,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import marlford.gateway.net.Usage;
 import marlford.lease.Member;
 import marlford.usage.Batch;
 import marlford.usage.Cells;
--- a/fleet/src/test/java/marlford/FleetHouseTest.java
+++ b/fleet/src/test/java/marlford/FleetHouseTest.java
@@ -28,7 +28,7 @@
                         "java.util.concurrent..",
                         "io..",
                         "com..",
-                        "deckfall..",
+                        "marlford.gateway..",
                         "marlford.consensus..",
                         "marlford.fleet..");
     }
--- a/gateway/src/main/java/deckfall/Brain.java
+++ b/gateway/src/main/java/marlford/gateway/Brain.java
@@ -1,17 +1,17 @@
-package deckfall;
-
-import deckfall.Gateway.*;
-import deckfall.State.*;
-import deckfall.account.Account;
-import deckfall.account.Account.Item;
-import deckfall.gossip.Rounds;
-import deckfall.gossip.UseMessage;
-import deckfall.lease.Leases;
-import deckfall.quota.Exchange;
-import deckfall.quota.Talk;
-import deckfall.quota.Terms;
+package marlford.gateway;
+
 import java.util.*;
 import java.util.stream.IntStream;
+import marlford.gateway.Gateway.*;
+import marlford.gateway.State.*;
+import marlford.gateway.account.Account;
+import marlford.gateway.account.Account.Item;
+import marlford.gateway.gossip.Rounds;
+import marlford.gateway.gossip.UseMessage;
+import marlford.gateway.lease.Leases;
+import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.Talk;
+import marlford.gateway.quota.Terms;
 
 /**
  * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
--- a/gateway/src/main/java/deckfall/HostStarts.java
+++ b/gateway/src/main/java/marlford/gateway/HostStarts.java
@@ -1,4 +1,4 @@
-package deckfall;
+package marlford.gateway;
 
 /**
  * When hosts started, on this gateway's own monotonic clock. Discovery tells a host's start as wall clock time, and the wall clock
--- a/gateway/src/main/java/deckfall/Main.java
+++ b/gateway/src/main/java/marlford/gateway/Main.java
@@ -1,4 +1,4 @@
-package deckfall;
+package marlford.gateway;
 
 import java.io.IOException;
 
@@ -14,9 +14,9 @@
     public static void main(String[] args) throws IOException, InterruptedException {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
-            case "serve" -> deckfall.net.Node.main(System.getenv("NODE_CONFIG"));
-            case "rehearse" -> deckfall.net.Rehearsal.run();
-            case "wirehost" -> deckfall.wire.Main.main(args);
+            case "serve" -> marlford.gateway.net.Node.main(System.getenv("NODE_CONFIG"));
+            case "rehearse" -> marlford.gateway.net.Rehearsal.run();
+            case "wirehost" -> marlford.gateway.wire.Main.main(args);
             default -> {
                 System.err.println("usage: deckfall serve | rehearse | wirehost");
                 System.exit(USAGE);
--- a/gateway/src/main/java/deckfall/State.java
+++ b/gateway/src/main/java/marlford/gateway/State.java
@@ -1,16 +1,5 @@
-package deckfall;
-
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Plan;
-import deckfall.Gateway.Request;
-import deckfall.Gateway.RequestClass;
-import deckfall.gossip.Loans;
-import deckfall.gossip.UseMessage;
-import deckfall.quota.Exchange;
-import deckfall.quota.PeerLife;
-import deckfall.quota.Talk;
+package marlford.gateway;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -18,6 +7,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Plan;
+import marlford.gateway.Gateway.Request;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.gossip.Loans;
+import marlford.gateway.gossip.UseMessage;
+import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.PeerLife;
+import marlford.gateway.quota.Talk;
 
 /** What one gateway remembers: plain fields and look-ups, no decision; Brain alone reads meaning into them. */
 final class State {
--- a/gateway/src/main/java/deckfall/Tell.java
+++ b/gateway/src/main/java/marlford/gateway/Tell.java
@@ -1,9 +1,9 @@
-package deckfall;
+package marlford.gateway;
 
-import deckfall.frame.Frame;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.frame.Frame;
 
 /**
  * A message between gateways and its bytes: version, check sum, the sender's life, the life it knows of the
--- a/gateway/src/main/java/deckfall/accept/AcceptRetry.java
+++ b/gateway/src/main/java/marlford/gateway/accept/AcceptRetry.java
@@ -1,4 +1,4 @@
-package deckfall.accept;
+package marlford.gateway.accept;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/gateway/src/main/java/deckfall/accept/Backoff.java
+++ b/gateway/src/main/java/marlford/gateway/accept/Backoff.java
@@ -1,4 +1,4 @@
-package deckfall.accept;
+package marlford.gateway.accept;
 
 /** Pauses between tries of something that fails: each is twice the one before, up to a longest. Not thread-safe. */
 public final class Backoff {
--- a/gateway/src/main/java/deckfall/accept/package-info.java
+++ b/gateway/src/main/java/marlford/gateway/accept/package-info.java
@@ -1,2 +1,2 @@
 /** Listeners that go on accepting whatever one accept came to. */
-package deckfall.accept;
+package marlford.gateway.accept;
--- a/gateway/src/main/java/deckfall/account/Account.java
+++ b/gateway/src/main/java/marlford/gateway/account/Account.java
@@ -1,8 +1,8 @@
-package deckfall.account;
+package marlford.gateway.account;
 
-import deckfall.Gateway.Outcome;
-import deckfall.quota.Exchange;
 import java.util.Locale;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.quota.Exchange;
 
 /**
  * What one gateway did since it was last asked, by cause: the line that it logs every second, so that a fleet's logs can
--- a/gateway/src/main/java/deckfall/console/Console.java
+++ b/gateway/src/main/java/marlford/gateway/console/Console.java
@@ -1,6 +1,5 @@
-package deckfall.console;
+package marlford.gateway.console;
 
-import deckfall.accept.AcceptRetry;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -32,6 +31,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import marlford.gateway.accept.AcceptRetry;
 
 /**
  * Where operators call: HTTP/1.1, one call on a connection, 2xx for yes, 4xx or 5xx for no. It has an event loop of its
--- a/gateway/src/main/java/deckfall/console/Desk.java
+++ b/gateway/src/main/java/marlford/gateway/console/Desk.java
@@ -1,4 +1,4 @@
-package deckfall.console;
+package marlford.gateway.console;
 
 /** What operators may ask of a gateway. All of it returns at once and may be called from any thread. */
 public interface Desk {
--- a/gateway/src/main/java/deckfall/console/Figures.java
+++ b/gateway/src/main/java/marlford/gateway/console/Figures.java
@@ -1,4 +1,4 @@
-package deckfall.console;
+package marlford.gateway.console;
 
 import java.util.List;
 import java.util.Locale;
--- a/gateway/src/main/java/deckfall/console/LeftOut.java
+++ b/gateway/src/main/java/marlford/gateway/console/LeftOut.java
@@ -1,4 +1,4 @@
-package deckfall.console;
+package marlford.gateway.console;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/gateway/src/main/java/deckfall/end/EndSchedule.java
+++ b/gateway/src/main/java/marlford/gateway/end/EndSchedule.java
@@ -1,4 +1,4 @@
-package deckfall.end;
+package marlford.gateway.end;
 
 /**
  * When a process that was told to end does what, in milliseconds from SIGTERM. The platform kills it no sooner than the
--- a/gateway/src/main/java/deckfall/end/Linger.java
+++ b/gateway/src/main/java/marlford/gateway/end/Linger.java
@@ -1,4 +1,4 @@
-package deckfall.end;
+package marlford.gateway.end;
 
 /**
  * How long a connection of a client is read on once its last answer has left and its sending is ended (RFC 9112, 9.6): until
--- a/gateway/src/main/java/deckfall/frame/Frame.java
+++ b/gateway/src/main/java/marlford/gateway/frame/Frame.java
@@ -1,4 +1,4 @@
-package deckfall.frame;
+package marlford.gateway.frame;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
--- a/gateway/src/main/java/deckfall/gossip/Loans.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/Loans.java
@@ -1,4 +1,4 @@
-package deckfall.gossip;
+package marlford.gateway.gossip;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/gateway/src/main/java/deckfall/gossip/UseMessage.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/UseMessage.java
@@ -1,9 +1,9 @@
-package deckfall.gossip;
+package marlford.gateway.gossip;
 
-import deckfall.frame.Frame;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.frame.Frame;
 
 /**
  * What one gateway tells all others of its tier at once, and its bytes: version, check sum, the sender's life, its
--- a/gateway/src/main/java/deckfall/guard/AttemptGuard.java
+++ b/gateway/src/main/java/marlford/gateway/guard/AttemptGuard.java
@@ -1,12 +1,12 @@
-package deckfall.guard;
+package marlford.gateway.guard;
 
-import deckfall.Gateway.Effect;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.Limits;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.RequestClass;
 import java.util.List;
+import marlford.gateway.Gateway.Effect;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.Limits;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.RequestClass;
 
 /**
  * The rules on attempts, told apart from the decision module that is to keep them: what it asks for is held against them before
--- a/gateway/src/main/java/deckfall/guard/ClientProgress.java
+++ b/gateway/src/main/java/marlford/gateway/guard/ClientProgress.java
@@ -1,4 +1,4 @@
-package deckfall.guard;
+package marlford.gateway.guard;
 
 /**
  * Judges whether a client has stopped: at any time its connection waits either for the client or for this gateway, and where it
--- a/gateway/src/main/java/deckfall/guard/Rule.java
+++ b/gateway/src/main/java/marlford/gateway/guard/Rule.java
@@ -1,4 +1,4 @@
-package deckfall.guard;
+package marlford.gateway.guard;
 
 /** What is never to happen. The names stand in the log, in lower case. */
 public enum Rule {
--- a/gateway/src/main/java/deckfall/guard/RuleCounter.java
+++ b/gateway/src/main/java/marlford/gateway/guard/RuleCounter.java
@@ -1,4 +1,4 @@
-package deckfall.guard;
+package marlford.gateway.guard;
 
 import java.util.Locale;
 
--- a/gateway/src/main/java/deckfall/lease/Leases.java
+++ b/gateway/src/main/java/marlford/gateway/lease/Leases.java
@@ -1,4 +1,4 @@
-package deckfall.lease;
+package marlford.gateway.lease;
 
 import java.util.Arrays;
 
--- a/gateway/src/main/java/deckfall/list/CallPace.java
+++ b/gateway/src/main/java/marlford/gateway/list/CallPace.java
@@ -1,4 +1,4 @@
-package deckfall.list;
+package marlford.gateway.list;
 
 import java.util.Random;
 
--- a/gateway/src/main/java/deckfall/list/HostList.java
+++ b/gateway/src/main/java/marlford/gateway/list/HostList.java
@@ -1,8 +1,5 @@
-package deckfall.list;
+package marlford.gateway.list;
 
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -11,6 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
 
 /**
  * What a gateway holds of discovery's list, which of its words it takes, and how far it may go by a list that nobody
--- a/gateway/src/main/java/deckfall/list/ListLimit.java
+++ b/gateway/src/main/java/marlford/gateway/list/ListLimit.java
@@ -1,4 +1,4 @@
-package deckfall.list;
+package marlford.gateway.list;
 
 /**
  * How many hosts a process can hold, so that no list makes it run out of memory.
--- a/gateway/src/main/java/deckfall/net/Attempt.java
+++ b/gateway/src/main/java/marlford/gateway/net/Attempt.java
@@ -1,9 +1,9 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Outcome;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
+import marlford.gateway.Gateway.Outcome;
 
 /** One attempt of an open request at one host. */
 final class Attempt extends HostConnection.Exchange {
--- a/gateway/src/main/java/deckfall/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -1,11 +1,5 @@
-package deckfall.net;
-
-import deckfall.Gateway.Request;
-import deckfall.console.Figures;
-import deckfall.end.Linger;
-import deckfall.guard.ClientProgress;
-import deckfall.guard.ClientProgress.Stopped;
-import deckfall.guard.Rule;
+package marlford.gateway.net;
+
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufHolder;
 import io.netty.buffer.Unpooled;
@@ -32,6 +26,12 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.Gateway.Request;
+import marlford.gateway.console.Figures;
+import marlford.gateway.end.Linger;
+import marlford.gateway.guard.ClientProgress;
+import marlford.gateway.guard.ClientProgress.Stopped;
+import marlford.gateway.guard.Rule;
 
 /** One client connection: one request at a time, in order; what is sent ahead waits its turn. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
--- a/gateway/src/main/java/deckfall/net/ClientServer.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientServer.java
@@ -1,11 +1,11 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.accept.AcceptRetry;
-import deckfall.guard.Rule;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.accept.AcceptRetry;
+import marlford.gateway.guard.Rule;
 
 /** Accepts clients, and looks over their connections at a steady pace. */
 final class ClientServer {
--- a/gateway/src/main/java/deckfall/net/Clock.java
+++ b/gateway/src/main/java/marlford/gateway/net/Clock.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 /** The one clock: Unix milliseconds that only advance, so that they compare with a host's start. */
 class Clock {
--- a/gateway/src/main/java/deckfall/net/CloseReason.java
+++ b/gateway/src/main/java/marlford/gateway/net/CloseReason.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 /** Why a client's connection ended. The names stand in the log, in lower case. */
 enum CloseReason {
--- a/gateway/src/main/java/deckfall/net/Discovery.java
+++ b/gateway/src/main/java/marlford/gateway/net/Discovery.java
@@ -1,11 +1,6 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.ListKind;
-import deckfall.list.CallPace;
-import deckfall.list.HostList;
-import deckfall.list.ListLimit;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -34,6 +29,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.list.CallPace;
+import marlford.gateway.list.HostList;
+import marlford.gateway.list.ListLimit;
 
 /**
  * Asks an agent for the whole list of hosts, then watches it without a break; a silent or broken call is asked anew.
--- a/gateway/src/main/java/deckfall/net/EventLog.java
+++ b/gateway/src/main/java/marlford/gateway/net/EventLog.java
@@ -1,8 +1,8 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Outcome;
 import java.util.Locale;
 import java.util.function.Consumer;
+import marlford.gateway.Gateway.Outcome;
 
 /**
  * Says what happens to requests and connections, and why: counted by reason for the line of each second, and, where the process
--- a/gateway/src/main/java/deckfall/net/Extras.java
+++ b/gateway/src/main/java/marlford/gateway/net/Extras.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import java.util.Map;
 import java.util.function.Consumer;
--- a/gateway/src/main/java/deckfall/net/HostClient.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostClient.java
@@ -1,9 +1,5 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Outcome;
-import deckfall.accept.Backoff;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -35,6 +31,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.accept.Backoff;
 
 /** The pools of connections to hosts, and what is sent on them. */
 final class HostClient {
--- a/gateway/src/main/java/deckfall/net/HostConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostConnection.java
@@ -1,6 +1,5 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Outcome;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -28,6 +27,7 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.Gateway.Outcome;
 
 /**
  * One connection to a host. It carries one exchange at a time, puts its answer together, and goes back to its pool
--- a/gateway/src/main/java/deckfall/net/HostEntryReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostEntryReader.java
@@ -1,12 +1,12 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.JsonNode;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
 
 /** The fields of one entry of a list of hosts, and the host that they make. One after another; not thread-safe. */
 final class HostEntryReader {
--- a/gateway/src/main/java/deckfall/net/HostListAnswer.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListAnswer.java
@@ -1,7 +1,7 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.list.HostList;
 import java.util.List;
+import marlford.gateway.list.HostList;
 
 /**
  * An answer of discovery: its whole list of hosts, or what changed.
--- a/gateway/src/main/java/deckfall/net/HostListParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListParser.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -6,11 +6,11 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
-import deckfall.list.HostList;
 import io.netty.buffer.ByteBuf;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.list.HostList;
 
 /**
  * Reads one answer of discovery from its bytes as they come, whatever the pieces. Neither the text nor a tree of it is
--- a/gateway/src/main/java/deckfall/net/HostStates.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostStates.java
@@ -1,13 +1,13 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
 
 /** What was last told of each host, and when its state last changed. On the event loop. */
 final class HostStates {
--- a/gateway/src/main/java/deckfall/net/Inside.java
+++ b/gateway/src/main/java/marlford/gateway/net/Inside.java
@@ -1,8 +1,8 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Outcome;
 import java.util.Set;
 import java.util.function.Consumer;
+import marlford.gateway.Gateway.Outcome;
 
 /** What a gateway that serves offers to whoever adds to it. From any thread; answers come on the event loop. */
 public interface Inside {
--- a/gateway/src/main/java/deckfall/net/JsonTree.java
+++ b/gateway/src/main/java/marlford/gateway/net/JsonTree.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
--- a/gateway/src/main/java/deckfall/net/Kept.java
+++ b/gateway/src/main/java/marlford/gateway/net/Kept.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
--- a/gateway/src/main/java/deckfall/net/Leavings.java
+++ b/gateway/src/main/java/marlford/gateway/net/Leavings.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 /**
  * Clients that left with no answer, for the line that is logged every second: {@code left_waiting} counts the requests of which
--- a/gateway/src/main/java/deckfall/net/ListTooLongException.java
+++ b/gateway/src/main/java/marlford/gateway/net/ListTooLongException.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 /** A list names more hosts than this process can hold; nothing of it was taken. */
 final class ListTooLongException extends UnreadableListException {
--- a/gateway/src/main/java/deckfall/net/ListTurn.java
+++ b/gateway/src/main/java/marlford/gateway/net/ListTurn.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import java.util.function.Consumer;
 
--- a/gateway/src/main/java/deckfall/net/LocalFailure.java
+++ b/gateway/src/main/java/marlford/gateway/net/LocalFailure.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import io.netty.channel.ChannelException;
 import java.net.BindException;
--- a/gateway/src/main/java/deckfall/net/LoopLag.java
+++ b/gateway/src/main/java/marlford/gateway/net/LoopLag.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
--- a/gateway/src/main/java/deckfall/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -1,25 +1,5 @@
-package deckfall.net;
-
-import deckfall.Brain;
-import deckfall.Gateway.Actions;
-import deckfall.Gateway.AttemptResult;
-import deckfall.Gateway.Events;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Request;
-import deckfall.Gateway.RequestClass;
-import deckfall.console.Console;
-import deckfall.console.Figures;
-import deckfall.end.EndSchedule;
-import deckfall.guard.AttemptGuard;
-import deckfall.guard.Rule;
-import deckfall.guard.RuleCounter;
-import deckfall.start.Birth;
-import deckfall.start.StartBudget;
-import deckfall.start.StartBudget.Step;
-import deckfall.upgrade.Predecessor;
-import deckfall.upgrade.Successor;
+package marlford.gateway.net;
+
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -39,6 +19,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import marlford.gateway.Brain;
+import marlford.gateway.Gateway.Actions;
+import marlford.gateway.Gateway.AttemptResult;
+import marlford.gateway.Gateway.Events;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Request;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.console.Console;
+import marlford.gateway.console.Figures;
+import marlford.gateway.end.EndSchedule;
+import marlford.gateway.guard.AttemptGuard;
+import marlford.gateway.guard.Rule;
+import marlford.gateway.guard.RuleCounter;
+import marlford.gateway.start.Birth;
+import marlford.gateway.start.StartBudget;
+import marlford.gateway.start.StartBudget.Step;
+import marlford.gateway.upgrade.Predecessor;
+import marlford.gateway.upgrade.Successor;
 
 /**
  * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
--- a/gateway/src/main/java/deckfall/net/NodeConfig.java
+++ b/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
@@ -1,10 +1,6 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import deckfall.Gateway.Settings;
-import deckfall.wire.Fields;
-import deckfall.wire.SettingsReader;
-import deckfall.wire.WireFault;
 import io.netty.util.NetUtil;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -18,6 +14,10 @@
 import java.util.Map;
 import java.util.StringJoiner;
 import java.util.TreeMap;
+import marlford.gateway.Gateway.Settings;
+import marlford.gateway.wire.Fields;
+import marlford.gateway.wire.SettingsReader;
+import marlford.gateway.wire.WireFault;
 
 /** What this api gateway was told at its start; anything missing or malformed is a {@link BadConfig}. */
 record NodeConfig(String name, InetSocketAddress console, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress peerListen,
--- a/gateway/src/main/java/deckfall/net/OpenRequest.java
+++ b/gateway/src/main/java/marlford/gateway/net/OpenRequest.java
@@ -1,10 +1,10 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Request;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.Gateway.Request;
 
 /** A request in the table: its client, until answered or gone, and its attempts. */
 final class OpenRequest {
--- a/gateway/src/main/java/deckfall/net/Operators.java
+++ b/gateway/src/main/java/marlford/gateway/net/Operators.java
@@ -1,8 +1,8 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.console.Desk;
 import java.util.Set;
 import java.util.concurrent.Executor;
+import marlford.gateway.console.Desk;
 
 /**
  * What operators ask of a node, handed from the console's loop to the node's own. What the console must know at once is
--- a/gateway/src/main/java/deckfall/net/PeerLink.java
+++ b/gateway/src/main/java/marlford/gateway/net/PeerLink.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
--- a/gateway/src/main/java/deckfall/net/PlainLog.java
+++ b/gateway/src/main/java/marlford/gateway/net/PlainLog.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import io.netty.util.internal.logging.FormattingTuple;
--- a/gateway/src/main/java/deckfall/net/Rehearsal.java
+++ b/gateway/src/main/java/marlford/gateway/net/Rehearsal.java
@@ -1,7 +1,5 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.start.StartBudget;
-import deckfall.upgrade.Predecessor;
 import java.io.File;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -17,6 +15,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
+import marlford.gateway.start.StartBudget;
+import marlford.gateway.upgrade.Predecessor;
 
 /**
  * One short life of a node that is its own host, peer and discovery, so that each part runs once. The build keeps
--- a/gateway/src/main/java/deckfall/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -1,7 +1,5 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.guard.ClientProgress;
-import deckfall.guard.ClientProgress.Part;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -25,6 +23,8 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.util.function.IntConsumer;
+import marlford.gateway.guard.ClientProgress;
+import marlford.gateway.guard.ClientProgress.Part;
 
 /**
  * Puts the requests of one connection together, or passes on that what comes can't be read: then nothing more is, as
--- a/gateway/src/main/java/deckfall/net/RequestTerms.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestTerms.java
@@ -1,10 +1,5 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Effect;
-import deckfall.Gateway.Plan;
-import deckfall.Gateway.Request;
-import deckfall.Gateway.RequestClass;
-import deckfall.Gateway.Settings;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -13,6 +8,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import marlford.gateway.Gateway.Effect;
+import marlford.gateway.Gateway.Plan;
+import marlford.gateway.Gateway.Request;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.Gateway.Settings;
 
 /**
  * What a request says of itself, held against the settings. All of it comes from a stranger, and the module reckons
--- a/gateway/src/main/java/deckfall/net/SettingsCheck.java
+++ b/gateway/src/main/java/marlford/gateway/net/SettingsCheck.java
@@ -1,14 +1,14 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.Gateway.Effect;
-import deckfall.Gateway.Limits;
-import deckfall.Gateway.Plan;
-import deckfall.Gateway.RequestClass;
-import deckfall.Gateway.Rules;
-import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.HashSet;
 import java.util.Set;
+import marlford.gateway.Gateway.Effect;
+import marlford.gateway.Gateway.Limits;
+import marlford.gateway.Gateway.Plan;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.Gateway.Rules;
+import marlford.gateway.Gateway.Settings;
+import marlford.gateway.Gateway.Sharing;
 
 /**
  * Whether settings can be at all. What is out of range is named before a listener opens: a time below nothing or a rate
--- a/gateway/src/main/java/deckfall/net/StartRetry.java
+++ b/gateway/src/main/java/marlford/gateway/net/StartRetry.java
@@ -1,8 +1,8 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import deckfall.accept.Backoff;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.accept.Backoff;
 
 /** Runs a step of a start again for as long as this machine has no descriptor, buffer or memory for it. Blocks; not for event loops. */
 final class StartRetry {
--- a/gateway/src/main/java/deckfall/net/StrictHeaders.java
+++ b/gateway/src/main/java/marlford/gateway/net/StrictHeaders.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
--- a/gateway/src/main/java/deckfall/net/Upload.java
+++ b/gateway/src/main/java/marlford/gateway/net/Upload.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayDeque;
--- a/gateway/src/main/java/deckfall/net/Usage.java
+++ b/gateway/src/main/java/marlford/gateway/net/Usage.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 /**
  * Takes note of what was let in. Called on the event loop, once for each request, before its first byte leaves for a host;
--- a/gateway/src/main/java/deckfall/net/WarmUp.java
+++ b/gateway/src/main/java/marlford/gateway/net/WarmUp.java
@@ -1,16 +1,6 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import com.fasterxml.jackson.databind.node.MissingNode;
-import deckfall.Brain;
-import deckfall.Gateway.Effect;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Plan;
-import deckfall.Gateway.RequestClass;
-import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
-import deckfall.quota.Exchange;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -36,6 +26,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
+import marlford.gateway.Brain;
+import marlford.gateway.Gateway.Effect;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Plan;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.Gateway.Settings;
+import marlford.gateway.Gateway.Sharing;
+import marlford.gateway.quota.Exchange;
 
 /**
  * Before a node takes clients, two of its kind serve made-up ones in the process's memory, so that the code which
--- a/gateway/src/main/java/deckfall/quota/Book.java
+++ b/gateway/src/main/java/marlford/gateway/quota/Book.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 /**
  * One customer's stores as its keeper has them. The quota's store may be a little below nothing where a word of another
--- a/gateway/src/main/java/deckfall/quota/CustomerView.java
+++ b/gateway/src/main/java/marlford/gateway/quota/CustomerView.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 /**
  * A customer as a gateway that asks for its units sees it: the last word on its store, and what is leased of it. Not
--- a/gateway/src/main/java/deckfall/quota/Exchange.java
+++ b/gateway/src/main/java/marlford/gateway/quota/Exchange.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/gateway/src/main/java/deckfall/quota/Guess.java
+++ b/gateway/src/main/java/marlford/gateway/quota/Guess.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 /**
  * What a gateway that hears of no keeper lets in by what it last knew of a customer. The store is taken to have gone on as
--- a/gateway/src/main/java/deckfall/quota/PeerLife.java
+++ b/gateway/src/main/java/marlford/gateway/quota/PeerLife.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 /**
  * Which life of a peer is its present one. A life is numbered by its process's wall clock at its start: 32 bits of milliseconds, which
--- a/gateway/src/main/java/deckfall/quota/Question.java
+++ b/gateway/src/main/java/marlford/gateway/quota/Question.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/gateway/src/main/java/deckfall/quota/Talk.java
+++ b/gateway/src/main/java/marlford/gateway/quota/Talk.java
@@ -1,9 +1,9 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
-import deckfall.frame.Frame;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.frame.Frame;
 
 /**
  * One message between two gateways of a large tier, or of one to all, and its bytes: version, check sum, the sender's life,
--- a/gateway/src/main/java/deckfall/quota/Terms.java
+++ b/gateway/src/main/java/marlford/gateway/quota/Terms.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 /**
  * What a plan allows each customer; 0 for a rate: no such limit.
--- a/gateway/src/main/java/deckfall/quota/Verdicts.java
+++ b/gateway/src/main/java/marlford/gateway/quota/Verdicts.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 /**
  * What one peer was answered last, by the serials of its questions: a question that comes again has its first verdict and
--- a/gateway/src/main/java/deckfall/quota/package-info.java
+++ b/gateway/src/main/java/marlford/gateway/quota/package-info.java
@@ -4,4 +4,4 @@
  * call brings its time in milliseconds, messages come and go as bytes. Nothing here is thread-safe; all of it belongs to
  * one event loop.
  */
-package deckfall.quota;
+package marlford.gateway.quota;
--- a/gateway/src/main/java/deckfall/start/Birth.java
+++ b/gateway/src/main/java/marlford/gateway/start/Birth.java
@@ -1,4 +1,4 @@
-package deckfall.start;
+package marlford.gateway.start;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/gateway/src/main/java/deckfall/start/StartBudget.java
+++ b/gateway/src/main/java/marlford/gateway/start/StartBudget.java
@@ -1,4 +1,4 @@
-package deckfall.start;
+package marlford.gateway.start;
 
 import java.util.function.LongSupplier;
 
--- a/gateway/src/main/java/deckfall/upgrade/Predecessor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
@@ -1,6 +1,5 @@
-package deckfall.upgrade;
+package marlford.gateway.upgrade;
 
-import deckfall.accept.Backoff;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -10,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.accept.Backoff;
 
 /** The new process's side of an upgrade: what it asks of the one that serves. For one thread. */
 public final class Predecessor implements Closeable {
--- a/gateway/src/main/java/deckfall/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
@@ -1,6 +1,5 @@
-package deckfall.upgrade;
+package marlford.gateway.upgrade;
 
-import deckfall.accept.Backoff;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
@@ -10,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.Consumer;
+import marlford.gateway.accept.Backoff;
 
 /**
  * The running process's side of an upgrade: it waits for the process that is to take its place, one at a time, and
--- a/gateway/src/main/java/deckfall/upgrade/Wire.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Wire.java
@@ -1,4 +1,4 @@
-package deckfall.upgrade;
+package marlford.gateway.upgrade;
 
 import java.io.BufferedReader;
 import java.io.Closeable;
--- a/gateway/src/main/java/deckfall/wire/Fields.java
+++ b/gateway/src/main/java/marlford/gateway/wire/Fields.java
@@ -1,4 +1,4 @@
-package deckfall.wire;
+package marlford.gateway.wire;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/gateway/src/main/java/deckfall/wire/Main.java
+++ b/gateway/src/main/java/marlford/gateway/wire/Main.java
@@ -1,4 +1,4 @@
-package deckfall.wire;
+package marlford.gateway.wire;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
--- a/gateway/src/main/java/deckfall/wire/ReplyWriter.java
+++ b/gateway/src/main/java/marlford/gateway/wire/ReplyWriter.java
@@ -1,7 +1,7 @@
-package deckfall.wire;
+package marlford.gateway.wire;
 
-import deckfall.Gateway.Actions;
 import java.util.HexFormat;
+import marlford.gateway.Gateway.Actions;
 
 /** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
 final class ReplyWriter implements Actions {
--- a/gateway/src/main/java/deckfall/wire/SettingsReader.java
+++ b/gateway/src/main/java/marlford/gateway/wire/SettingsReader.java
@@ -1,15 +1,15 @@
-package deckfall.wire;
+package marlford.gateway.wire;
 
-import deckfall.Gateway.Effect;
-import deckfall.Gateway.Limits;
-import deckfall.Gateway.Plan;
-import deckfall.Gateway.RequestClass;
-import deckfall.Gateway.Rules;
-import deckfall.Gateway.Scope;
-import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.Gateway.Effect;
+import marlford.gateway.Gateway.Limits;
+import marlford.gateway.Gateway.Plan;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.Gateway.Rules;
+import marlford.gateway.Gateway.Scope;
+import marlford.gateway.Gateway.Settings;
+import marlford.gateway.Gateway.Sharing;
 
 /** Translates the pairs of a start message; absent keys mean that the thing they speak of is not there. */
 public final class SettingsReader {
--- a/gateway/src/main/java/deckfall/wire/WireFault.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireFault.java
@@ -1,4 +1,4 @@
-package deckfall.wire;
+package marlford.gateway.wire;
 
 /** A line that cannot be read; the message tells what is wrong with it. */
 public final class WireFault extends RuntimeException {
--- a/gateway/src/main/java/deckfall/wire/WireHost.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireHost.java
@@ -1,12 +1,5 @@
-package deckfall.wire;
+package marlford.gateway.wire;
 
-import deckfall.Brain;
-import deckfall.Gateway.AttemptResult;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Request;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -14,6 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import marlford.gateway.Brain;
+import marlford.gateway.Gateway.AttemptResult;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Request;
 
 /** Hosts many instances of the decision module on the simulator's wire and translates lines both ways. */
 final class WireHost {
--- a/gateway/src/test/java/deckfall/BooksTest.java
+++ b/gateway/src/test/java/marlford/gateway/BooksTest.java
@@ -1,9 +1,9 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import deckfall.Gateway.*;
 import java.util.List;
+import marlford.gateway.Gateway.*;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/gateway/src/test/java/deckfall/ColdTier.java
+++ b/gateway/src/test/java/marlford/gateway/ColdTier.java
@@ -1,19 +1,19 @@
-package deckfall;
-
-import deckfall.Gateway.AttemptResult;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Request;
-import deckfall.Gateway.Rules;
-import deckfall.Gateway.Settings;
+package marlford.gateway;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import marlford.gateway.Gateway.AttemptResult;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Request;
+import marlford.gateway.Gateway.Rules;
+import marlford.gateway.Gateway.Settings;
 
 /**
  * A tier of gateways, each a whole decision module that decides by itself, before hosts that start cold, in virtual time. The
--- a/gateway/src/test/java/deckfall/ColdTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/ColdTierTest.java
@@ -1,4 +1,4 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/deckfall/DecisionBenchmark.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionBenchmark.java
@@ -1,4 +1,4 @@
-package deckfall;
+package marlford.gateway;
 
 import java.util.List;
 import java.util.concurrent.TimeUnit;
--- a/gateway/src/test/java/deckfall/DecisionsTest.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionsTest.java
@@ -1,9 +1,7 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import deckfall.Gateway.*;
-import deckfall.State.ClassState;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,6 +11,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
+import marlford.gateway.Gateway.*;
+import marlford.gateway.State.ClassState;
 import org.junit.jupiter.api.Test;
 
 /** Release, weights, host health, determinism and the module's size. */
@@ -380,7 +380,7 @@
 
     @Test
     void theModuleStaysWithinItsSize() throws IOException {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/deckfall/Brain.java"));
+        List<String> lines = Files.readAllLines(Path.of("src/main/java/marlford/gateway/Brain.java"));
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() < MODULE_LINES);
         assertEquals(List.of(), lines.stream().filter(l -> l.length() > 110).toList());
         assertTrue(lines.stream().limit(40).anyMatch(l -> l.contains("Gateway.java")));
--- a/gateway/src/test/java/deckfall/FakeGateway.java
+++ b/gateway/src/test/java/marlford/gateway/FakeGateway.java
@@ -1,10 +1,10 @@
-package deckfall;
+package marlford.gateway;
 
-import deckfall.Gateway.*;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
+import marlford.gateway.Gateway.*;
 
 /** A clock and a notebook: plays events into one Brain and keeps what it does. */
 final class FakeGateway implements Actions {
--- a/gateway/src/test/java/deckfall/GuardsTest.java
+++ b/gateway/src/test/java/marlford/gateway/GuardsTest.java
@@ -1,12 +1,12 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.*;
 
-import deckfall.Gateway.*;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.LongStream;
+import marlford.gateway.Gateway.*;
 import org.junit.jupiter.api.Test;
 
 /** The five rules, each on one gateway alone. */
--- a/gateway/src/test/java/deckfall/HostStartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/HostStartsTest.java
@@ -1,13 +1,13 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import java.util.List;
 import java.util.stream.Stream;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/gateway/src/test/java/deckfall/HouseTest.java
+++ b/gateway/src/test/java/marlford/gateway/HouseTest.java
@@ -1,4 +1,4 @@
-package deckfall;
+package marlford.gateway;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -12,13 +12,13 @@
 
 /** The floors of the house: decisions and the pure modules see no socket, no file and no clock, and nothing above them. */
 class HouseTest {
-    private static final String[] PURE = {"deckfall.account", "deckfall.end", "deckfall.frame", "deckfall.gossip", "deckfall.guard",
-            "deckfall.lease", "deckfall.list",
-            "deckfall.quota"};
+    private static final String[] PURE = {"marlford.gateway.account", "marlford.gateway.end", "marlford.gateway.frame",
+            "marlford.gateway.gossip", "marlford.gateway.guard", "marlford.gateway.lease", "marlford.gateway.list",
+            "marlford.gateway.quota"};
     private static final String[] OUTSIDE = {"java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
             "java.time..", "java.util.concurrent..", "io.netty..", "com.fasterxml.."};
     private static final JavaClasses ALL = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("deckfall");
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("marlford.gateway");
 
     private static ArchRule seeNothingOutside(String... packages) {
         return noClasses().that().resideInAnyPackage(packages).should().dependOnClassesThat().resideInAnyPackage(OUTSIDE);
@@ -38,23 +38,24 @@
     /** The decision module and what it is built of stand on the pure modules alone. */
     @Test
     void decisionsStandOnPureModulesAlone() {
-        classes().that().resideInAPackage("deckfall").and().doNotHaveSimpleName("Main").should()
-                .onlyDependOnClassesThat().resideInAnyPackage("deckfall", "deckfall.account", "deckfall.frame",
-                        "deckfall.gossip", "deckfall.lease", "deckfall.quota", "java.lang..", "java.util", "java.util.function",
-                        "java.util.stream", "java.util.zip", "java.nio").check(ALL);
-        askNoClock("deckfall").check(ALL);
+        classes().that().resideInAPackage("marlford.gateway").and().doNotHaveSimpleName("Main").should()
+                .onlyDependOnClassesThat().resideInAnyPackage("marlford.gateway", "marlford.gateway.account",
+                        "marlford.gateway.frame", "marlford.gateway.gossip", "marlford.gateway.lease", "marlford.gateway.quota",
+                        "java.lang..", "java.util", "java.util.function", "java.util.stream", "java.util.zip", "java.nio").check(ALL);
+        askNoClock("marlford.gateway").check(ALL);
     }
 
     @Test
     void theQuotaModuleStandsAlone() {
-        noClasses().that().resideInAPackage("deckfall.quota").should().dependOnClassesThat()
-                .resideInAnyPackage("deckfall", "deckfall.account", "deckfall.net", "deckfall.gossip").check(ALL);
+        noClasses().that().resideInAPackage("marlford.gateway.quota").should().dependOnClassesThat()
+                .resideInAnyPackage("marlford.gateway", "marlford.gateway.account", "marlford.gateway.net",
+                        "marlford.gateway.gossip").check(ALL);
     }
 
     /** The rules can fail: what faces sockets breaks them. */
     @Test
     void theRulesFindASocket() {
-        assertThrows(AssertionError.class, () -> seeNothingOutside("deckfall.net").check(ALL));
-        assertThrows(AssertionError.class, () -> askNoClock("deckfall.net", "deckfall.start").check(ALL));
+        assertThrows(AssertionError.class, () -> seeNothingOutside("marlford.gateway.net").check(ALL));
+        assertThrows(AssertionError.class, () -> askNoClock("marlford.gateway.net", "marlford.gateway.start").check(ALL));
     }
 }
--- a/gateway/src/test/java/deckfall/HundredsTest.java
+++ b/gateway/src/test/java/marlford/gateway/HundredsTest.java
@@ -1,13 +1,13 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.quota.Talk;
 import java.util.List;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import marlford.gateway.quota.Talk;
 import org.junit.jupiter.api.Test;
 
 /** One gateway of a hundred: what the module does with what the keepers of books say, or do not say. */
--- a/gateway/src/test/java/deckfall/LargeTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/LargeTierTest.java
@@ -1,9 +1,8 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.gossip.UseMessage;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -14,6 +13,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.IntSupplier;
+import marlford.gateway.gossip.UseMessage;
 import org.junit.jupiter.api.Test;
 
 /** Fourteen gateways over a lossy link that takes in only so many messages a second: quotas without questions. */
--- a/gateway/src/test/java/deckfall/ProbeEvidenceTest.java
+++ b/gateway/src/test/java/marlford/gateway/ProbeEvidenceTest.java
@@ -1,9 +1,9 @@
-package deckfall;
+package marlford.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.Gateway.Outcome;
+import marlford.gateway.Gateway.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** What probes found, of this gateway or of another, beside what the gateway knows itself. */
--- a/gateway/src/test/java/deckfall/SmallTier.java
+++ b/gateway/src/test/java/marlford/gateway/SmallTier.java
@@ -1,4 +1,4 @@
-package deckfall;
+package marlford.gateway;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/gateway/src/test/java/deckfall/accept/AcceptRetryTest.java
+++ b/gateway/src/test/java/marlford/gateway/accept/AcceptRetryTest.java
@@ -1,4 +1,4 @@
-package deckfall.accept;
+package marlford.gateway.accept;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/deckfall/account/AccountTest.java
+++ b/gateway/src/test/java/marlford/gateway/account/AccountTest.java
@@ -1,4 +1,4 @@
-package deckfall.account;
+package marlford.gateway.account;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/gateway/src/test/java/deckfall/console/LeftOutTest.java
+++ b/gateway/src/test/java/marlford/gateway/console/LeftOutTest.java
@@ -1,4 +1,4 @@
-package deckfall.console;
+package marlford.gateway.console;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/gateway/src/test/java/deckfall/end/EndScheduleTest.java
+++ b/gateway/src/test/java/marlford/gateway/end/EndScheduleTest.java
@@ -1,4 +1,4 @@
-package deckfall.end;
+package marlford.gateway.end;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/deckfall/gossip/RoundsTest.java
+++ b/gateway/src/test/java/marlford/gateway/gossip/RoundsTest.java
@@ -1,4 +1,4 @@
-package deckfall.gossip;
+package marlford.gateway.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/gateway/src/test/java/deckfall/guard/AttemptGuardTest.java
+++ b/gateway/src/test/java/marlford/gateway/guard/AttemptGuardTest.java
@@ -1,19 +1,19 @@
-package deckfall.guard;
+package marlford.gateway.guard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.Gateway.Effect;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.Limits;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.RequestClass;
-import deckfall.Gateway.Scope;
-import deckfall.guard.AttemptGuard.Earlier;
 import java.util.List;
+import marlford.gateway.Gateway.Effect;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.Limits;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.Gateway.Scope;
+import marlford.gateway.guard.AttemptGuard.Earlier;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/gateway/src/test/java/deckfall/lease/LeasesTest.java
+++ b/gateway/src/test/java/marlford/gateway/lease/LeasesTest.java
@@ -1,14 +1,14 @@
-package deckfall.lease;
+package marlford.gateway.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.lease.Leases.Terms;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.Random;
+import marlford.gateway.lease.Leases.Terms;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
--- a/gateway/src/test/java/deckfall/list/CallPaceTest.java
+++ b/gateway/src/test/java/marlford/gateway/list/CallPaceTest.java
@@ -1,4 +1,4 @@
-package deckfall.list;
+package marlford.gateway.list;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/gateway/src/test/java/deckfall/list/HostListTest.java
+++ b/gateway/src/test/java/marlford/gateway/list/HostListTest.java
@@ -1,20 +1,20 @@
-package deckfall.list;
+package marlford.gateway.list;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
-import deckfall.list.HostList.Limits;
-import deckfall.list.HostList.Told;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.list.HostList.Limits;
+import marlford.gateway.list.HostList.Told;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
--- a/gateway/src/test/java/deckfall/net/ClientReadingTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ClientReadingTest.java
@@ -1,10 +1,10 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.headers;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.order;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.headers;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.order;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -12,15 +12,15 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.net.Sockets.Registry;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/gateway/src/test/java/deckfall/net/DescriptorsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DescriptorsTest.java
@@ -1,10 +1,8 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Server;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -17,6 +15,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -48,7 +48,7 @@
         Path file = Files.writeString(folder.resolve("config.json"), config);
         ProcessBuilder java = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-cp",
-                System.getProperty("java.class.path"), "deckfall.Main", "serve");
+                System.getProperty("java.class.path"), "marlford.gateway.Main", "serve");
         java.environment().put("NODE_CONFIG", file.toString());
         process = java.redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(folder.resolve("log").toFile()).start();
--- a/gateway/src/test/java/deckfall/net/DiscoveryTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DiscoveryTest.java
@@ -1,24 +1,24 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.ok;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.ok;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Registry;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/gateway/src/test/java/deckfall/net/EndsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EndsTest.java
@@ -1,16 +1,9 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Gateway.Actions;
-import deckfall.Gateway.AttemptResult;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -28,6 +21,13 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.Gateway.Actions;
+import marlford.gateway.Gateway.AttemptResult;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Request;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/gateway/src/test/java/deckfall/net/EventLogTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EventLogTest.java
@@ -1,11 +1,11 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.Gateway.Outcome;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.Gateway.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Each end has its reason: in the counts of a second, and in a line with the request's id. */
--- a/gateway/src/test/java/deckfall/net/FailedAcceptStopsAcceptingTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/FailedAcceptStopsAcceptingTest.java
@@ -1,15 +1,12 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Registry;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -23,6 +20,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
+import marlford.gateway.Brain;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Registry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/gateway/src/test/java/deckfall/net/FailedSocketEndsTheStartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
@@ -1,16 +1,13 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Registry;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoopGroup;
@@ -21,6 +18,9 @@
 import java.net.InetSocketAddress;
 import java.net.SocketException;
 import java.util.concurrent.atomic.AtomicInteger;
+import marlford.gateway.Brain;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Registry;
 import org.junit.jupiter.api.Test;
 
 /** A system that has no descriptor for a moment ends no start; an address that somebody else has does. */
--- a/gateway/src/test/java/deckfall/net/ForbiddenRepeatIsSentTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ForbiddenRepeatIsSentTest.java
@@ -1,19 +1,19 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.order;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.order;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import deckfall.Gateway.Actions;
-import deckfall.Gateway.AttemptResult;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Request;
-import deckfall.guard.Rule;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
+import marlford.gateway.Gateway.Actions;
+import marlford.gateway.Gateway.AttemptResult;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Request;
+import marlford.gateway.guard.Rule;
+import marlford.gateway.net.Sockets.Registry;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
 /** Whatever the decision module asks for, a repeat that is against a rule does not leave. */
--- a/gateway/src/test/java/deckfall/net/HostAnswersTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostAnswersTest.java
@@ -1,20 +1,20 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.bytes;
-import static deckfall.net.Sockets.ok;
-import static deckfall.net.Sockets.order;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.bytes;
+import static marlford.gateway.net.Sockets.ok;
+import static marlford.gateway.net.Sockets.order;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Server;
 import java.net.Socket;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/gateway/src/test/java/deckfall/net/HostIsBlamedForALocalFailureTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostIsBlamedForALocalFailureTest.java
@@ -1,16 +1,12 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -24,6 +20,10 @@
 import java.net.SocketAddress;
 import java.net.SocketException;
 import java.util.concurrent.atomic.AtomicInteger;
+import marlford.gateway.Brain;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Registry;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/gateway/src/test/java/deckfall/net/HostListParserTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
@@ -1,15 +1,13 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Gateway.HostState;
-import deckfall.list.HostList;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.IOException;
@@ -17,6 +15,8 @@
 import java.util.List;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.list.HostList;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
--- a/gateway/src/test/java/deckfall/net/JsonTreeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/JsonTreeTest.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/gateway/src/test/java/deckfall/net/LongAnswersTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongAnswersTest.java
@@ -1,15 +1,12 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.bytes;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.bytes;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Server;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -22,6 +19,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
 /** Answers that are too long to be kept, and peers that take their time over them. */
--- a/gateway/src/test/java/deckfall/net/LongBodiesTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongBodiesTest.java
@@ -1,17 +1,14 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.bytes;
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.ok;
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.bytes;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.ok;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Server;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -23,6 +20,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
 /** Bodies that are too long to be kept: each goes to one host, once, as fast as that takes it. */
--- a/gateway/src/test/java/deckfall/net/LongListTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongListTest.java
@@ -1,12 +1,10 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Server;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -16,6 +14,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -51,7 +51,7 @@
         Path file = Files.writeString(folder.resolve("config.json"), config);
         ProcessBuilder java = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         java.command().addAll(List.of(MEMORY));
-        java.command().addAll(List.of("-cp", System.getProperty("java.class.path"), "deckfall.Main", "serve"));
+        java.command().addAll(List.of("-cp", System.getProperty("java.class.path"), "marlford.gateway.Main", "serve"));
         java.environment().put("NODE_CONFIG", file.toString());
         process = java.redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(log().toFile()).start();
     }
--- a/gateway/src/test/java/deckfall/net/MeetingsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/MeetingsTest.java
@@ -1,14 +1,10 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.ListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -37,6 +33,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import marlford.gateway.Brain;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.ListKind;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/gateway/src/test/java/deckfall/net/MovedClock.java
+++ b/gateway/src/test/java/marlford/gateway/net/MovedClock.java
@@ -1,4 +1,4 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 /** A clock that the test moves on, beside its own going or alone. */
 final class MovedClock extends Clock {
--- a/gateway/src/test/java/deckfall/net/ProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
@@ -1,12 +1,10 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Message;
-import deckfall.upgrade.Successor;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -21,6 +19,8 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.upgrade.Successor;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -51,7 +51,7 @@
     private void start(String config, String before) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config);
         ProcessBuilder b = new ProcessBuilder("sh", "-c", before + "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"", JAVA,
-                "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "deckfall.Main", "serve");
+                "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "marlford.gateway.Main", "serve");
         b.environment().put("NODE_CONFIG", file.toString());
         process = b.redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(dir.resolve("log").toFile()).start();
@@ -295,7 +295,7 @@
 
     private Process beside(String log, String config) throws IOException {
         ProcessBuilder b = new ProcessBuilder(JAVA, "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
-                "deckfall.Main", "serve");
+                "marlford.gateway.Main", "serve");
         b.environment().put("NODE_CONFIG", dir.resolve(config).toString());
         b.environment().put("TMPDIR", Files.createDirectories(dir.resolve("tmp")).toString());
         return b.redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(dir.resolve(log).toFile()).start();
--- a/gateway/src/test/java/deckfall/net/QueuedRequestOutlivesItsClientTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/QueuedRequestOutlivesItsClientTest.java
@@ -1,14 +1,14 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Server;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
 /** A request's time runs while it waits behind others of its connection: no host is told more than its client has left. */
--- a/gateway/src/test/java/deckfall/net/Quiet.java
+++ b/gateway/src/test/java/marlford/gateway/net/Quiet.java
@@ -1,12 +1,12 @@
-package deckfall.net;
-
-import deckfall.Gateway.AttemptResult;
-import deckfall.Gateway.Events;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Settings;
+package marlford.gateway.net;
+
 import java.util.List;
+import marlford.gateway.Gateway.AttemptResult;
+import marlford.gateway.Gateway.Events;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Settings;
 
 /** A module that does nothing about whatever a test leaves out. */
 interface Quiet extends Events {
--- a/gateway/src/test/java/deckfall/net/SocketTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/SocketTest.java
@@ -1,19 +1,12 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.ok;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
-import deckfall.Gateway.Actions;
-import deckfall.Gateway.Events;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Registry;
-import deckfall.net.Sockets.Server;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.Closeable;
@@ -27,6 +20,13 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
+import marlford.gateway.Brain;
+import marlford.gateway.Gateway.Actions;
+import marlford.gateway.Gateway.Events;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.net.Sockets.Registry;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
--- a/gateway/src/test/java/deckfall/net/Sockets.java
+++ b/gateway/src/test/java/marlford/gateway/net/Sockets.java
@@ -1,9 +1,6 @@
-package deckfall.net;
+package marlford.gateway.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.Brain;
-import deckfall.Gateway.Actions;
-import deckfall.Gateway.Events;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -22,6 +19,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import marlford.gateway.Brain;
+import marlford.gateway.Gateway.Actions;
+import marlford.gateway.Gateway.Events;
 
 /** The other ends of a node's sockets, on ports that the system chooses. */
 final class Sockets {
--- a/gateway/src/test/java/deckfall/net/StartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StartTest.java
@@ -1,16 +1,16 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.bytes;
-import static deckfall.net.Sockets.entry;
-import static deckfall.net.Sockets.list;
-import static deckfall.net.Sockets.ok;
+import static marlford.gateway.net.Sockets.bytes;
+import static marlford.gateway.net.Sockets.entry;
+import static marlford.gateway.net.Sockets.list;
+import static marlford.gateway.net.Sockets.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.net.Sockets.Server;
-import deckfall.start.StartBudget;
 import java.io.IOException;
 import java.util.stream.IntStream;
+import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.start.StartBudget;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/gateway/src/test/java/deckfall/net/WarmUpTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/WarmUpTest.java
@@ -1,16 +1,16 @@
-package deckfall.net;
+package marlford.gateway.net;
 
-import static deckfall.net.Sockets.view;
+import static marlford.gateway.net.Sockets.view;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import deckfall.net.Sockets.Client;
-import deckfall.net.Sockets.Message;
-import deckfall.net.Sockets.Server;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
+import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.Message;
+import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
 /** The made-up clients before the first real one. */
--- a/gateway/src/test/java/deckfall/quota/LeaseCoursesTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseCoursesTest.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/deckfall/quota/LeaseTable.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseTable.java
@@ -1,4 +1,4 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
 import java.util.Locale;
 import java.util.Random;
--- a/gateway/src/test/java/deckfall/quota/Tier.java
+++ b/gateway/src/test/java/marlford/gateway/quota/Tier.java
@@ -1,6 +1,5 @@
-package deckfall.quota;
+package marlford.gateway.quota;
 
-import deckfall.LatePolicy;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
@@ -13,6 +12,7 @@
 import java.util.Set;
 import java.util.function.BiPredicate;
 import java.util.function.ToIntFunction;
+import marlford.gateway.LatePolicy;
 
 /**
  * A whole tier in virtual time: so many exchanges, a link with delay, loss, an intake and cuts, customers with true stores
--- a/gateway/src/test/java/deckfall/start/StartBudgetTest.java
+++ b/gateway/src/test/java/marlford/gateway/start/StartBudgetTest.java
@@ -1,13 +1,13 @@
-package deckfall.start;
+package marlford.gateway.start;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.start.StartBudget.Step;
 import java.util.EnumMap;
 import java.util.EnumSet;
 import java.util.Map;
 import java.util.Set;
+import marlford.gateway.start.StartBudget.Step;
 import org.junit.jupiter.api.Test;
 
 /** Whole starts on a clock of the test's own. */
--- a/gateway/src/test/java/deckfall/upgrade/HandOverTest.java
+++ b/gateway/src/test/java/marlford/gateway/upgrade/HandOverTest.java
@@ -1,4 +1,4 @@
-package deckfall.upgrade;
+package marlford.gateway.upgrade;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/gateway/src/test/java/deckfall/wire/WireHostTest.java
+++ b/gateway/src/test/java/marlford/gateway/wire/WireHostTest.java
@@ -1,4 +1,4 @@
-package deckfall.wire;
+package marlford.gateway.wire;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/storm/src/main/java/marlford/storm/Gateway.java
+++ b/storm/src/main/java/marlford/storm/Gateway.java
@@ -74,7 +74,7 @@
         command.addAll(List.of("-cp", classPath));
         command.addAll(
                 switch (role) {
-                    case ALONE -> List.of("deckfall.Main", "serve");
+                    case ALONE -> List.of("marlford.gateway.Main", "serve");
                     case SERVES ->
                         List.of(
                                 "marlford.fleet.Main",
--- a/storm/src/main/java/marlford/storm/scale/Customer.java
+++ b/storm/src/main/java/marlford/storm/scale/Customer.java
@@ -1,7 +1,7 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Talk;
-import deckfall.quota.Terms;
+import marlford.gateway.quota.Talk;
+import marlford.gateway.quota.Terms;
 
 /** One customer and its stores as they truly are, which no gateway sees. */
 final class Customer {
--- a/storm/src/main/java/marlford/storm/scale/HollowGateway.java
+++ b/storm/src/main/java/marlford/storm/scale/HollowGateway.java
@@ -1,13 +1,13 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Exchange;
-import deckfall.quota.Talk;
-import deckfall.quota.Terms;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.Talk;
+import marlford.gateway.quota.Terms;
 import marlford.storm.scale.PartTimer.Part;
 
 /**
--- a/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
+++ b/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
@@ -1,11 +1,11 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Exchange;
-import deckfall.quota.Talk;
-import deckfall.quota.Terms;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.Talk;
+import marlford.gateway.quota.Terms;
 
 /**
  * A customer of real processes.
--- a/storm/src/main/java/marlford/storm/scale/LoadedFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/LoadedFleet.java
@@ -1,6 +1,5 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Exchange;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,6 +11,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import marlford.gateway.quota.Exchange;
 
 /**
  * A few real processes of the program under load, with quota leases. A keeper of customers' books and a gateway that holds
--- a/storm/src/main/java/marlford/storm/scale/LoneGateway.java
+++ b/storm/src/main/java/marlford/storm/scale/LoneGateway.java
@@ -1,27 +1,27 @@
 package marlford.storm.scale;
 
-import deckfall.Brain;
-import deckfall.Gateway.Actions;
-import deckfall.Gateway.AttemptResult;
-import deckfall.Gateway.Effect;
-import deckfall.Gateway.Host;
-import deckfall.Gateway.HostState;
-import deckfall.Gateway.Limits;
-import deckfall.Gateway.ListKind;
-import deckfall.Gateway.Outcome;
-import deckfall.Gateway.Plan;
-import deckfall.Gateway.Request;
-import deckfall.Gateway.RequestClass;
-import deckfall.Gateway.Rules;
-import deckfall.Gateway.Scope;
-import deckfall.Gateway.Settings;
-import deckfall.Gateway.Sharing;
-import deckfall.list.HostList;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import marlford.gateway.Brain;
+import marlford.gateway.Gateway.Actions;
+import marlford.gateway.Gateway.AttemptResult;
+import marlford.gateway.Gateway.Effect;
+import marlford.gateway.Gateway.Host;
+import marlford.gateway.Gateway.HostState;
+import marlford.gateway.Gateway.Limits;
+import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.Gateway.Plan;
+import marlford.gateway.Gateway.Request;
+import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.Gateway.Rules;
+import marlford.gateway.Gateway.Scope;
+import marlford.gateway.Gateway.Settings;
+import marlford.gateway.Gateway.Sharing;
+import marlford.gateway.list.HostList;
 import marlford.storm.scale.PartTimer.Part;
 
 /**
--- a/storm/src/main/java/marlford/storm/scale/LoopFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/LoopFleet.java
@@ -1,6 +1,5 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Exchange;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -26,6 +25,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
+import marlford.gateway.quota.Exchange;
 import marlford.storm.scale.PartTimer.Part;
 
 /**
--- a/storm/src/main/java/marlford/storm/scale/ProcessFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/ProcessFleet.java
@@ -1,6 +1,5 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Terms;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
+import marlford.gateway.quota.Terms;
 
 /** A few real processes of the program, idle, beside a stand-in for discovery; the other peers are addresses only. */
 final class ProcessFleet implements Closeable {
--- a/storm/src/main/java/marlford/storm/scale/ProcessSettings.java
+++ b/storm/src/main/java/marlford/storm/scale/ProcessSettings.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import deckfall.quota.Terms;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.util.ArrayList;
 import java.util.List;
+import marlford.gateway.quota.Terms;
 
 /**
  * What the configurations of real processes have in common.
--- a/storm/src/main/java/marlford/storm/scale/UnitsAudit.java
+++ b/storm/src/main/java/marlford/storm/scale/UnitsAudit.java
@@ -1,9 +1,9 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Terms;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import marlford.gateway.quota.Terms;
 
 /**
  * Compares the units that came to the hosts with what the customers' quotas and ceilings allow.
--- a/storm/src/main/java/marlford/storm/scale/VirtualFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/VirtualFleet.java
@@ -1,10 +1,10 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Exchange;
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.List;
 import java.util.SplittableRandom;
+import marlford.gateway.quota.Exchange;
 
 /** A fleet of hollow gateways in virtual time. All chance comes from the run's seed, so a run can be had again. */
 public final class VirtualFleet {
--- a/storm/src/main/java/marlford/storm/scale/Workload.java
+++ b/storm/src/main/java/marlford/storm/scale/Workload.java
@@ -1,10 +1,10 @@
 package marlford.storm.scale;
 
-import deckfall.quota.Talk;
-import deckfall.quota.Terms;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import marlford.gateway.quota.Talk;
+import marlford.gateway.quota.Terms;
 
 /**
  * Who asks for what, in proportion to the size that is designed for: 78,000 customers before 2,700 gateways that let
--- a/storm/src/main/java/marlford/storm/soak/SoakProcess.java
+++ b/storm/src/main/java/marlford/storm/soak/SoakProcess.java
@@ -78,7 +78,7 @@
                 "-XX:MaxDirectMemorySize=16m",
                 "-cp",
                 classPath,
-                "deckfall.Main",
+                "marlford.gateway.Main",
                 "serve");
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
--- a/storm/src/test/java/marlford/storm/scale/LoadedFleetTest.java
+++ b/storm/src/test/java/marlford/storm/scale/LoadedFleetTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import deckfall.quota.Exchange;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
+import marlford.gateway.quota.Exchange;
 import org.junit.jupiter.api.Test;
 
 /** What a run of real processes under load is judged by, without the processes. */
