--- a/fleet/src/main/java/marlford/fleet/Fleet.java
+++ b/fleet/src/main/java/marlford/fleet/Fleet.java
@@ -16,9 +16,9 @@
 import marlford.consensus.MonotonicClock;
 import marlford.consensus.RequestSender;
 import marlford.consensus.Voter;
-import marlford.gateway.net.Inside;
-import marlford.gateway.net.ListTurn;
-import marlford.gateway.net.Usage;
+import marlford.gateway.net.ServingGateway;
+import marlford.gateway.net.SharedListFetch;
+import marlford.gateway.net.UsageRecorder;
 import marlford.lease.Member;
 import marlford.lease.Reply;
 import marlford.task.FleetTask;
@@ -109,20 +109,20 @@
     }
 
     /** Whose turn it is to call for a list. */
-    ListTurn lists() {
-        return listPolling == null ? ListTurn.NONE : listPolling;
+    SharedListFetch lists() {
+        return listPolling == null ? SharedListFetch.NONE : listPolling;
     }
 
     /** The gateway of this process serves. */
-    void serving(Inside gateway) {
+    void serving(ServingGateway gateway) {
         if (config.probes() != null && gateway.mayProbe()) {
             run(() -> healthChecks = new HealthCheckWorker(config.probes(), gateway, member, this::run, log));
         }
     }
 
     /** Where a gateway of this process notes what it lets in. */
-    Usage usage() {
-        return usageExporter == null ? Usage.NONE : usageExporter.usage();
+    UsageRecorder usage() {
+        return usageExporter == null ? UsageRecorder.NONE : usageExporter.usage();
     }
 
     /** Begins; returns at once, whoever else is there. */
--- a/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
+++ b/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.net.Inside;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.net.ServingGateway;
 import marlford.health.ProbeResult;
 import marlford.health.ProbeResultFilter;
 import marlford.health.Prober;
@@ -19,7 +19,7 @@
     private static final double LOOK_MS = 500; // how often the list of hosts is asked for
     private static final double BELIEVED_ROUNDS = 2;
 
-    private final Inside gateway;
+    private final ServingGateway gateway;
     private final Consumer<Runnable> thread;
     private final Consumer<String> log;
     private final Prober prober;
@@ -30,7 +30,7 @@
     /** @param thread runs work on the member's thread */
     HealthCheckWorker(
             FleetConfig.ProbeConfig config,
-            Inside gateway,
+            ServingGateway gateway,
             Member member,
             Consumer<Runnable> thread,
             Consumer<String> log) {
--- a/fleet/src/main/java/marlford/fleet/Main.java
+++ b/fleet/src/main/java/marlford/fleet/Main.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import marlford.gateway.net.Extras;
+import marlford.gateway.net.GatewayExtensions;
 import marlford.gateway.net.Node;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -82,7 +82,7 @@
             }
             Node.main(
                     System.getenv("NODE_CONFIG"),
-                    new Extras(
+                    new GatewayExtensions(
                             Map.of("/admin/fleet", started::text), started.usage(), started.lists(), started::serving));
             return ExitCode.OK;
         }
--- a/fleet/src/main/java/marlford/fleet/SharedListPolling.java
+++ b/fleet/src/main/java/marlford/fleet/SharedListPolling.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import marlford.gateway.net.ListTurn;
+import marlford.gateway.net.SharedListFetch;
 import marlford.lease.Member;
 import marlford.polling.SingleFlightPoll;
 
@@ -10,7 +10,7 @@
  * Connects {@link SingleFlightPoll} to the gateway's discovery. Calls from the gateway are passed to the member's
  * thread.
  */
-final class SharedListPolling implements ListTurn {
+final class SharedListPolling implements SharedListFetch {
     private final Member member;
     private final Consumer<Runnable> thread;
     private final DoubleSupplier clock;
--- a/fleet/src/main/java/marlford/fleet/UsageExporter.java
+++ b/fleet/src/main/java/marlford/fleet/UsageExporter.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import marlford.gateway.net.Usage;
+import marlford.gateway.net.UsageRecorder;
 import marlford.lease.Member;
 import marlford.usage.Batch;
 import marlford.usage.Cells;
@@ -90,8 +90,8 @@
     }
 
     /** What the gateway's loop calls. */
-    Usage usage() {
-        return new Usage() {
+    UsageRecorder usage() {
+        return new UsageRecorder() {
             @Override
             public void admitted(long customer, double units) {
                 table.admitted(customer, units, wallClock.ms());
--- a/gateway/src/main/java/marlford/gateway/Brain.java
+++ b/gateway/src/main/java/marlford/gateway/DecisionEngine.java
@@ -1,23 +1,22 @@
 package marlford.gateway;
 
+import static marlford.gateway.EngineState.*;
+
 import java.util.*;
 import java.util.stream.IntStream;
-import marlford.gateway.Gateway.*;
-import marlford.gateway.State.*;
-import marlford.gateway.account.Account;
-import marlford.gateway.account.Account.Item;
-import marlford.gateway.gossip.Rounds;
-import marlford.gateway.gossip.UseMessage;
-import marlford.gateway.lease.Leases;
-import marlford.gateway.quota.Exchange;
-import marlford.gateway.quota.Talk;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.EngineApi.*;
+import marlford.gateway.EngineState.*;
+import marlford.gateway.gossip.*;
+import marlford.gateway.lease.TwoPartyLeases;
+import marlford.gateway.metrics.ActivityCounters;
+import marlford.gateway.metrics.ActivityCounters.Item;
+import marlford.gateway.quota.*;
 
 /**
  * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
- * Its interface (events, actions, settings) is Gateway.java, beside this file.
+ * Its interface (events, actions, settings) is EngineApi.java, beside this file.
  */
-public final class Brain implements Gateway.Events {
+public final class DecisionEngine implements EngineApi.Events {
     // Housekeeping
     private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
     private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
@@ -116,14 +115,14 @@
     private Peer[] peers = new Peer[0];
     private Settings set;
     private HostStarts starts;
-    private Leases leases;
+    private TwoPartyLeases leases;
     private double pulse; // milliseconds between words of one keeper to another
-    private final Account account = new Account();
+    private final ActivityCounters account = new ActivityCounters();
     private Random random;
-    private Rounds rounds; // null where keepers are asked
-    private Exchange exchange; // null but where the tier is too large for rounds as well
+    private GossipScheduler rounds; // null where keepers are asked
+    private QuotaCoordinator exchange; // null but where the tier is too large for rounds as well
     private final ArrayDeque<Wish> wishes = new ArrayDeque<>();
-    private double roundHeardAt = State.NEVER;
+    private double roundHeardAt = NEVER;
     private int epoch, roundsTold;
     private double fillsSince; // the last life of this gateway spent its ceilings until then
     private double startedAt, beatAt, stalled, boundAt, sweptAt, delayAt, donateAt, mailAt, surveyedAt;
@@ -135,22 +134,23 @@
     private double retryTokens = RETRY_MAX / 2;
     private double latencySum, baseSum, aimShareSum;
 
-    public Brain(Actions act) {
+    public DecisionEngine(Actions act) {
         this.act = act;
     }
 
     /** Quotas where hundreds of gateways share them. */
-    private Exchange exchange(double now) {
-        List<Terms> plans = set.plans().stream().map(p -> new Terms(p.excessPays() ? 0 : p.rate(), p.burst(),
-                p.ceilingRate(), p.ceilingBurst())).toList();
-        return new Exchange(now, new Exchange.Config(set.me(), peers.length, set.sharing().mailPerSecond(),
-                set.sharing().maxUnits(), CUSTOMERS_MAX, plans), epoch, random, new Exchange.Link() {
+    private QuotaCoordinator exchange(double now) {
+        List<QuotaTerms> plans = set.plans().stream().map(p -> new QuotaTerms(p.excessPays() ? 0 : p.rate(),
+                p.burst(), p.ceilingRate(), p.ceilingBurst())).toList();
+        return new QuotaCoordinator(now, new QuotaCoordinator.Config(set.me(), peers.length,
+                set.sharing().mailPerSecond(), set.sharing().maxUnits(), CUSTOMERS_MAX, plans),
+                epoch, random, new QuotaCoordinator.Link() {
             @Override public void tell(int peer, byte[] data) {
                 account.note(Item.TOLD);
-                act.tell(peer, data);
+                act.sendToPeer(peer, data);
             }
 
-            @Override public void decided(double at, String id, Exchange.Decision d) {
+            @Override public void decided(double at, String id, QuotaCoordinator.Decision d) {
                 Ask ask = asks.get(id);
                 ask.grant = d.grant();
                 ask.leaveBy = d.leaveBy();
@@ -165,7 +165,7 @@
 
     // ---- events
 
-    @Override public void start(double now, Settings settings) {
+    @Override public void onStart(double now, Settings settings) {
         set = settings;
         random = new Random(settings.seed());
         startedAt = fillsSince = now;
@@ -176,10 +176,10 @@
         pulse = Math.max(PULSE_MS, (peers.length - 1) / pulses);
         double gap = (peers.length - 1) / mailRate();
         beginLife(now);
-        boolean hundreds = Exchange.isFor(peers.length, settings.sharing().mailPerSecond());
+        boolean hundreds = QuotaCoordinator.isFor(peers.length, settings.sharing().mailPerSecond());
         if (settings.limits().peers() && hundreds) exchange = exchange(now);
         else if (settings.limits().peers() && gap > ANSWER_MS) {
-            rounds = new Rounds(now, gap, CUSTOMERS_MAX, random);
+            rounds = new GossipScheduler(now, gap, CUSTOMERS_MAX, random);
         }
         double worth = settings.classes().stream().mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth())).sum();
         for (RequestClass c : settings.classes()) {
@@ -191,11 +191,11 @@
         for (int i = 0; i < settings.plans().size(); i++) planNumbers.put(settings.plans().get(i).name(), i);
         beatAt = boundAt = sweptAt = delayAt = donateAt = mailAt = surveyedAt = now;
         if (settings.subscribe()) act.watchHosts();
-        act.timer(TICK_MS, "beat");
+        act.startTimer(TICK_MS, "beat");
     }
 
-    @Override public void hosts(double now, ListKind kind, List<Host> hosts) {
-        if (kind == ListKind.FAILED) act.timer(RELAX_MS, "watch");
+    @Override public void onHosts(double now, ListKind kind, List<Host> hosts) {
+        if (kind == ListKind.FAILED) act.startTimer(RELAX_MS, "watch");
         if (kind == ListKind.FAILED) return;
         if (kind != ListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
         starts.telling(hosts);
@@ -214,7 +214,7 @@
         release(now);
     }
 
-    @Override public void request(double now, Request r) {
+    @Override public void onRequest(double now, Request r) {
         ClassState cls = classes.get(r.requestClass());
         if (cls == null) act.refuse(r.id(), 0); // a class that the settings do not name cannot be judged
         if (cls == null) return;
@@ -265,7 +265,7 @@
         finish(ask);
     }
 
-    @Override public void streamStarted(double now, String id, int attempt) {
+    @Override public void onStreamStarted(double now, String id, int attempt) {
         Ask ask = asks.get(id);
         if (ask == null) return;
         ask.streaming = true;
@@ -286,7 +286,7 @@
         if (a.server.out.isEmpty()) watched.remove(a.server);
     }
 
-    @Override public void attemptEnded(double now, AttemptResult r) {
+    @Override public void onAttemptEnded(double now, AttemptResult r) {
         Ask ask = asks.get(r.id());
         if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
         Attempt a = ask.attempts.get(r.attempt());
@@ -309,7 +309,7 @@
         release(now);
     }
 
-    @Override public void clientLeft(double now, String id) {
+    @Override public void onClientLeft(double now, String id) {
         Ask ask = asks.get(id);
         if (ask == null) return;
         close(ask);
@@ -318,10 +318,10 @@
         }
     }
 
-    @Override public void timer(double now, String token) {
+    @Override public void onTimer(double now, String token) {
         if (token.equals("watch")) act.watchHosts();
         if (!token.equals("beat")) return;
-        act.timer(TICK_MS, "beat");
+        act.startTimer(TICK_MS, "beat");
         noteStall(now);
         leases.beat(now);
         expire(now);
@@ -340,7 +340,7 @@
     /** Leases last by words and their answers, also where there is nothing else to tell. */
     private void pulse(double now) {
         for (Peer peer : peers) {
-            if (now - peer.sharedAt < State.FORGET_MS && now - peer.toldAt >= pulse) queue(peer, null);
+            if (now - peer.sharedAt < FORGET_MS && now - peer.toldAt >= pulse) queue(peer, null);
         }
     }
 
@@ -370,21 +370,21 @@
     private void beginLife(double now) {
         epoch = (int) (long) now;
         double term = TERM_PULSES * pulse;
-        leases = new Leases(new Leases.Terms(term, term + TERMS_APART_MS), peers.length, now);
+        leases = new TwoPartyLeases(new TwoPartyLeases.Terms(term, term + TERMS_APART_MS), peers.length, now);
     }
 
-    @Override public void aloneSince(double now, double since) {
+    @Override public void onNoOtherSpenderSince(double now, double since) {
         fillsSince = Math.min(fillsSince, since);
         if (exchange != null) exchange.aloneSince(since);
     }
 
-    @Override public void replaced(double now) {
+    @Override public void onReplaced(double now) {
         customers.values().forEach(c -> touch(now, c)); // up to here all is this process's
         replacedAt = now;
         if (exchange != null) exchange.replaced(now);
     }
 
-    @Override public void restored(double now) {
+    @Override public void onRestored(double now) {
         beginLife(now); // peers know the other process as the later life
         customers.values().forEach(c -> touch(now, c)); // what filled since went with the other
         startedAt += now - replacedAt;
@@ -393,14 +393,15 @@
         if (exchange != null) exchange.restored(now, epoch);
     }
 
-    @Override public void leaving(double now) { if (exchange != null) exchange.leave(now); }
+    @Override public void onShutdown(double now) { if (exchange != null) exchange.leave(now); }
 
-    @Override public void probed(double now, String host, Outcome outcome, double took, double[] report) {
+    @Override public void onProbeResult(double now, String host, Outcome outcome, double took,
+            double[] report) {
         Server s = servers.get(host); // now is when the probe was sent, which may be another gateway's
         if (s != null) s.health.probed(now, outcome, BAD_ANSWER, FAILED_GAIN, SLOW_FADE_MS);
     }
 
-    @Override public void counted(double now, String counter, Outcome outcome, double total) { }
+    @Override public void onCounterResult(double now, String counter, Outcome outcome, double total) { }
 
     // ---- admission by parts
 
@@ -423,7 +424,7 @@
             Plan p = c.plan;
             c.spread = Math.min(spread, peers.length);
             c.first = first;
-            c.keepers = State.ranked(id, first, c.spread, peers.length, KEEPERS);
+            c.keepers = EngineState.ranked(id, first, c.spread, peers.length, KEEPERS);
             c.tokens = p.burst() / c.spread;
             // The ceiling's store starts with what has filled since this gateway's last life ended, as far as
             // that is known, never with a burst: that life may have spent it (rule 5).
@@ -453,12 +454,12 @@
     /** Since when this gateway has the share that either keeper has: the second when the first is silent. */
     private double leasedSince(double now, Customer c) {
         int other = otherKeeper(c);
-        if (other < 0) return Leases.NOT;
+        if (other < 0) return TwoPartyLeases.NOT;
         return c.keepers[0] == set.me() ? leases.heldSince(now, other) : leases.takenSince(other);
     }
 
     private double ceilingShare(Customer c) {
-        return ownShare(c) + (c.leasedSince == Leases.NOT ? 0 : OWNER_SHARE * LEASED);
+        return ownShare(c) + (c.leasedSince == TwoPartyLeases.NOT ? 0 : OWNER_SHARE * LEASED);
     }
 
     private double ceilingHold(Customer c) {
@@ -478,7 +479,7 @@
         double since = leasedSince(now, c);
         if (since != c.leasedSince) { // till then at most the own share was here
             from = Math.min(now, Math.max(from, since));
-            c.leasedSince = Leases.NOT;
+            c.leasedSince = TwoPartyLeases.NOT;
             fillShare(c, from - c.touchedAt);
             c.leasedSince = since;
         }
@@ -614,7 +615,7 @@
         if (in) return;
         close(ask);
         Customer c = ask.customer;
-        act.refuse(ask.request.id(), waitTold(c == null ? State.FORGET_MS : c.refillMs(ask.request.units())));
+        act.refuse(ask.request.id(), waitTold(c == null ? FORGET_MS : c.refillMs(ask.request.units())));
     }
 
     /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
@@ -673,28 +674,28 @@
 
     /** Where keepers can't be asked in time, all hear of all use, and each lets in by its own view. */
     private void tellAll(double now) {
-        int count = UseMessage.word(++roundsTold);
+        int count = UsageMessage.word(++roundsTold);
         List<Customer> told = new ArrayList<>();
-        List<UseMessage.Want> wants = new ArrayList<>();
-        List<UseMessage.Gift> gifts = gifts(now);
-        for (long id : rounds.next(now, UseMessage.room(UseMessage.LOANS + gifts.size()))) {
+        List<UsageMessage.Want> wants = new ArrayList<>();
+        List<UsageMessage.Gift> gifts = gifts(now);
+        for (long id : rounds.next(now, UsageMessage.room(UsageMessage.LOANS + gifts.size()))) {
             Customer c = customers.get(id);
             if (c == null) continue;
             touch(now, c);
             told.add(c);
-            double units = UseMessage.loan(ceilingShort(now, c));
-            for (int i = 0; units > 0 && i < GIVERS && wants.size() < UseMessage.LOANS; i++) {
+            double units = UsageMessage.loan(ceilingShort(now, c));
+            for (int i = 0; units > 0 && i < GIVERS && wants.size() < UsageMessage.LOANS; i++) {
                 int giver = c.loans.giver(now, c.first, c.spread, peers.length, random,
                         g -> g != set.me() && now - peers[g].roundAt < RELAX_MS);
                 if (giver < 0) break;
                 c.loans.asked(now, giver, count);
-                wants.add(new UseMessage.Want(id, c.planNumber, c.first, c.spread, giver, units));
+                wants.add(new UsageMessage.Want(id, c.planNumber, c.first, c.spread, giver, units));
             }
         }
-        List<UseMessage.Entry> entries = told.stream().map(c -> new UseMessage.Entry(c.id, c.planNumber,
-                UseMessage.usedField(c.usedAtMost()), c.demand, c.fullness())).toList();
+        List<UsageMessage.Entry> entries = told.stream().map(c -> new UsageMessage.Entry(c.id, c.planNumber,
+                UsageMessage.usedField(c.usedAtMost()), c.demand, c.fullness())).toList();
         account.note(Item.TOLD);
-        act.tell(State.EVERYONE, new UseMessage(epoch, count, entries, wants, gifts).bytes());
+        act.sendToPeer(EVERYONE, new UsageMessage(epoch, count, entries, wants, gifts).bytes());
     }
 
     /** What fits into the own share of a ceiling, where little is left and the quota has room. */
@@ -706,48 +707,48 @@
     }
 
     /** Answers to wants: what is beyond the own need, deducted here first. */
-    private List<UseMessage.Gift> gifts(double now) {
-        List<UseMessage.Gift> gifts = new ArrayList<>();
+    private List<UsageMessage.Gift> gifts(double now) {
+        List<UsageMessage.Gift> gifts = new ArrayList<>();
         for (Wish w = wishes.poll(); w != null; w = wishes.poll()) {
             Customer c = w.customer();
             touch(now, c);
             double spare = c.ceiling - Math.max(KEPT * ceilingHold(c), c.demand);
-            double units = UseMessage.loan(Math.min(w.units(), spare));
+            double units = UsageMessage.loan(Math.min(w.units(), spare));
             if (units <= 0 || now - w.at() > RELAX_MS) continue;
             c.ceiling -= units;
             c.loans.gave(now, units);
-            gifts.add(new UseMessage.Gift(c.id, w.peer(), w.life(), w.count(), units));
-            if (gifts.size() == UseMessage.LOANS) break;
+            gifts.add(new UsageMessage.Gift(c.id, w.peer(), w.life(), w.count(), units));
+            if (gifts.size() == UsageMessage.LOANS) break;
         }
         return gifts;
     }
 
-    private void heardLoans(double now, Peer peer, UseMessage m) {
-        for (UseMessage.Want w : m.wants()) {
+    private void heardLoans(double now, Peer peer, UsageMessage m) {
+        for (UsageMessage.Want w : m.wants()) {
             boolean both = w.inSet(peer.number, peers.length) && w.inSet(set.me(), peers.length);
             if (w.giver() != set.me() || !both || wishes.size() >= WISHES_MAX) continue;
             Customer c = customer(now, w.customer(), w.plan(), w.first(), w.spread());
             if (c == null || c.planNumber != w.plan()) continue;
-            wishes.add(new Wish(c, peer.number, UseMessage.word(m.life()), m.count(), w.units(), now));
+            wishes.add(new Wish(c, peer.number, UsageMessage.word(m.life()), m.count(), w.units(), now));
         }
-        for (UseMessage.Gift g : m.gifts()) {
+        for (UsageMessage.Gift g : m.gifts()) {
             Customer c = g.to() == set.me() ? customers.get(g.customer()) : null;
-            if (c == null || g.toLife() != UseMessage.word(epoch)) continue;
+            if (c == null || g.toLife() != UsageMessage.word(epoch)) continue;
             touch(now, c);
             if (!c.loans.takes(now, peer.number, g.toCount())) continue;
             c.ceiling = Math.max(c.ceiling, Math.min(ceilingRoom(now, c), c.ceiling + g.units()));
         }
     }
 
-    private void heardUse(double now, Peer peer, UseMessage m) {
+    private void heardUse(double now, Peer peer, UsageMessage m) {
         if (!peer.hears(now, m.life(), m.count())) return;
         roundHeardAt = peer.roundAt = now;
-        for (UseMessage.Entry e : m.entries()) {
+        for (UsageMessage.Entry e : m.entries()) {
             Customer c = customer(now, e.customer(), e.plan(), 0, 0);
             if (c == null || c.planNumber != e.plan()) continue;
             // What a peer used in a life that began before this one was taken from the store that it sees.
             Member told = c.member(peer);
-            boolean learns = !told.known && now - startedAt < State.FORGET_MS && m.life() - epoch < 0;
+            boolean learns = !told.known && now - startedAt < FORGET_MS && m.life() - epoch < 0;
             double since = told.usedSince(e.used());
             c.others = Math.max(0, c.others + e.demand() - told.demand(now, DEMAND_MS));
             told.demand = e.demand();
@@ -760,8 +761,8 @@
     }
 
     private void tell(double now, Peer peer) {
-        List<Tell.Entry> entries = new ArrayList<>();
-        int room = (TELL_BYTES - Tell.HEAD_BYTES) / Tell.ENTRY_BYTES;
+        List<LedgerMessage.Entry> entries = new ArrayList<>();
+        int room = (TELL_BYTES - LedgerMessage.HEAD_BYTES) / LedgerMessage.ENTRY_BYTES;
         peer.serial++;
         for (LinkedHashSet<Customer> due : List.of(peer.answers, peer.tells)) {
             for (Iterator<Customer> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
@@ -773,48 +774,48 @@
         peer.toldAt = now;
         account.note(Item.TOLD);
         leases.told(now, peer.number, peer.serial);
-        Tell message = new Tell(epoch, peer.life.number(), peer.serial, peer.heardSerial, entries);
-        act.tell(peer.number, message.bytes());
+        var message = new LedgerMessage(epoch, peer.life.number(), peer.serial, peer.heardSerial, entries);
+        act.sendToPeer(peer.number, message.bytes());
     }
 
-    private Tell.Entry tellOf(double now, Customer c, Peer keeper) {
+    private LedgerMessage.Entry tellOf(double now, Customer c, Peer keeper) {
         for (Ask a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
         double want = c.pendingUnits();
         boolean asked = keeper(now, c, 0) == keeper.number || now < keeper.silentTill
                 || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
         boolean view = keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS;
-        return new Tell.Entry(false, asked, c.plan.ceilingRate() > 0 && c.ceiling < want, false, view, c.id,
-                c.planNumber, c.first, c.spread, c.used, want, c.demand, c.fullness(), c.open, 0);
+        return new LedgerMessage.Entry(false, asked, c.plan.ceilingRate() > 0 && c.ceiling < want, false,
+                view, c.id, c.planNumber, c.first, c.spread, c.used, want, c.demand, c.fullness(), c.open, 0);
     }
 
-    private Tell.Entry answer(double now, Customer c, Peer to) {
+    private LedgerMessage.Entry answer(double now, Customer c, Peer to) {
         Member m = c.member(to);
         double others = Math.max(0, c.demand + c.others - m.demand(now, DEMAND_MS));
-        return new Tell.Entry(true, false, c.plan.ceilingRate() > 0, unsure(now, c), false, c.id,
+        return new LedgerMessage.Entry(true, false, c.plan.ceilingRate() > 0, unsure(now, c), false, c.id,
                 c.planNumber, c.first, c.spread, m.booked, m.granted, others, c.fullness(),
                 c.open + c.othersOpen - m.open, m.given);
     }
 
-    @Override public void peerSaid(double now, int from, byte[] data) {
+    @Override public void onPeerMessage(double now, int from, byte[] data) {
         if (from < 0 || from >= peers.length || from == set.me()) return; // a stranger
         if (rounds != null) {
-            UseMessage m = UseMessage.read(data);
+            UsageMessage m = UsageMessage.read(data);
             if (m != null) account.note(Item.HEARD);
             if (m != null) heardUse(now, peers[from], m);
         }
-        Talk talk = exchange == null ? null : Talk.read(data);
-        Tell tell = talk == null ? Tell.read(data) : null;
+        QuotaMessage talk = exchange == null ? null : QuotaMessage.read(data);
+        LedgerMessage tell = talk == null ? LedgerMessage.read(data) : null;
         if (talk == null && tell == null) return; // damaged, or of a version unknown here
         account.note(Item.HEARD);
         if (exchange != null) exchange.heard(now, from, talk);
         if (exchange != null) return;
         Peer peer = peers[from];
         if (!peer.hears(now, tell.epoch(), tell.serial())) return;
-        peer.silentTill = State.NEVER;
+        peer.silentTill = NEVER;
         boolean toThisLife = tell.yourEpoch() == epoch;
         leases.heard(now, from);
         if (toThisLife) leases.answered(now, from, tell.yourSerial());
-        for (Tell.Entry e : tell.entries()) {
+        for (LedgerMessage.Entry e : tell.entries()) {
             if (e.answer()) hearAnswer(now, peer, e, tell.yourSerial(), toThisLife);
             else hearTell(now, peer, e);
         }
@@ -822,7 +823,7 @@
     }
 
     /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, Peer peer, Tell.Entry e) {
+    private void hearTell(double now, Peer peer, LedgerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
         if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
         Customer c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
@@ -843,7 +844,7 @@
         double back = m.granted + m.open * set.sharing().maxUnits();
         c.othersOpen += e.open() - m.open;
         m.open = e.open();
-        double spent = m.known && !adopts ? Math.max(-back, Tell.ahead(e.used(), m.booked)) : 0;
+        double spent = m.known && !adopts ? Math.max(-back, LedgerMessage.ahead(e.used(), m.booked)) : 0;
         m.known = true;
         c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - spent));
         boolean gives = e.ceiling() && c.plan.ceilingRate() > 0;
@@ -864,7 +865,7 @@
     }
 
     /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, Peer peer, Tell.Entry e, int mySerial, boolean toThisLife) {
+    private void hearAnswer(double now, Peer peer, LedgerMessage.Entry e, int mySerial, boolean toThisLife) {
         Customer c = customers.get(e.customer());
         if (c == null || !toThisLife) return;
         touch(now, c);
@@ -879,13 +880,13 @@
             m.taken = e.given();
         }
         List<Ask> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !Tell.after(a.askSerial, mySerial)).toList();
+                .filter(a -> a.keeper == peer.number && !LedgerMessage.after(a.askSerial, mySerial)).toList();
         if (!e.unsure()) {
             c.others = e.demand();
             c.othersOpen = e.open();
             c.newsAt = now;
             c.informed = true;
-            c.level = e.fullness() * c.plan.burst() - Tell.ahead(c.used, e.used());
+            c.level = e.fullness() * c.plan.burst() - LedgerMessage.ahead(c.used, e.used());
         }
         double granted = e.want();
         for (Ask ask : judged) {
@@ -936,10 +937,10 @@
             turn = Math.max(turn, c.turn);
             c.turn += ask.work() / c.weight;
             boolean goesOn = !c.queue.isEmpty();
-            if (goesOn && c.releasedAt > State.NEVER) {
+            if (goesOn && c.releasedAt > NEVER) {
                 c.releaseGap += GAP_GAIN * (now - c.releasedAt - c.releaseGap);
             }
-            c.releasedAt = goesOn ? now : State.NEVER;
+            c.releasedAt = goesOn ? now : NEVER;
             send(now, ask, s);
             return true;
         }
@@ -994,7 +995,7 @@
     private void finish(Ask ask) {
         RequestClass spec = ask.cls.spec;
         boolean harmless = ask.ran() == null || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && spec.scope() == Gateway.Scope.ALL;
+                || spec.effect() == Effect.KEYED && spec.scope() == EngineApi.Scope.ALL;
         close(ask);
         // A place may be had once what is held now has left.
         if (harmless) act.refuse(ask.request.id(), waitTold(ask.cls.queue.size() * ask.cls.releaseGap));
@@ -1056,7 +1057,7 @@
         }
         if (now - donateAt < donateGap) return;
         donateAt = now;
-        if (waited) classes.values().forEach(Brain::measureSlope);
+        if (waited) classes.values().forEach(DecisionEngine::measureSlope);
         boolean gave = waited && donate(new ArrayList<>(classes.values()));
         donateGap = gave ? Math.min(WEIGHT_GAP_MAX_MS, donateGap * 2) : WEIGHT_GAP_MS;
         waited = false;
@@ -1104,14 +1105,14 @@
 
     // ---- hosts
 
-    @Override public String account(double now) {
+    @Override public String takeActivityLine(double now) {
         long cold = usable.stream().filter(s -> rampOf(s, now) < 1).count();
         return account.take() + " open=" + asks.size() + " out=" + inFlight + " places=" + (int) bound()
-                + " hosts=" + usable.size() + " cold=" + cold + " avoided=" + avoided(now)
+                + " hosts=" + usable.size() + " cold=" + cold + " avoided=" + avoidedHostCount(now)
                 + (exchange == null ? "" : exchange.counts());
     }
 
-    @Override public int avoided(double now) {
+    @Override public int avoidedHostCount(double now) {
         return (int) servers.values().stream().filter(s -> s.listed)
                 .filter(s -> !s.open() || s.health.slowness(now, SLOW_FADE_MS) >= BAD_ANSWER).count();
     }
@@ -1255,14 +1256,14 @@
                 }
             }
             // No connection: down or full, the host takes nothing from us now; one is enough.
-            case CONNECT_FAILED -> s.health.judge(now, State.SLOW_MAX, 1, SLOW_FADE_MS);
+            case CONNECT_FAILED -> s.health.judge(now, SLOW_MAX, 1, SLOW_FADE_MS);
             // With nothing of ours there it is no crowd of our making: it drains, or others fill it. An idle
             // host would else win every comparison, and each gateway of a large tier learns for itself.
             case FULL -> {
                 boolean idle = s.out.isEmpty();
-                s.health.judge(now, idle ? State.SLOW_MAX : BAD_ANSWER, idle ? 1 : FAILED_GAIN, SLOW_FADE_MS);
+                s.health.judge(now, idle ? SLOW_MAX : BAD_ANSWER, idle ? 1 : FAILED_GAIN, SLOW_FADE_MS);
             }
-            case ERROR, RESET, TIMEOUT -> s.of(c).judge(now, State.SLOW_MAX, FAILED_GAIN, SLOW_FADE_MS);
+            case ERROR, RESET, TIMEOUT -> s.of(c).judge(now, SLOW_MAX, FAILED_GAIN, SLOW_FADE_MS);
             default -> { }
         }
         if (clear && (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT)) {
@@ -1281,7 +1282,7 @@
                 double waited = now - a.sentAt - ownStall(now, a);
                 if (a.overdue || a.ask.streaming || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
                 a.overdue = true;
-                s.of(a.ask.cls).judge(now, State.SLOW_MAX, FAILED_GAIN, SLOW_FADE_MS);
+                s.of(a.ask.cls).judge(now, SLOW_MAX, FAILED_GAIN, SLOW_FADE_MS);
                 boolean useful = !a.ask.done && now + a.work < giveUpAt(a.ask);
                 boolean safe = a.ask.cls.spec.effect() != Effect.ONCE && set.limits().cancel();
                 if (useful && safe && retryTokens >= 1) act.cancel(a.ask.request.id(), a.number);
@@ -1292,7 +1293,7 @@
     private void sweep(double now) {
         if (now - sweptAt < SWEEP_MS) return;
         sweptAt = now;
-        customers.values().removeIf(c -> now - c.touchedAt > State.forgetMs(c.plan)
+        customers.values().removeIf(c -> now - c.touchedAt > EngineState.forgetMs(c.plan)
                 && c.open == 0 && c.pending.isEmpty());
         servers.values().removeIf(s -> !s.listed && s.out.isEmpty());
     }
--- a/gateway/src/main/java/marlford/gateway/Gateway.java
+++ b/gateway/src/main/java/marlford/gateway/EngineApi.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /** What the decision module is told and what it can do: settings, events and actions. No decision lives here. */
-public final class Gateway {
-    private Gateway() { }
+public final class EngineApi {
+    private EngineApi() { }
 
     /** What repeating a request of a class does. */
     public enum Effect { REPEATABLE, KEYED, ONCE }
@@ -84,51 +84,51 @@
 
     /** Everything that a gateway sees; {@code now} is the only clock, in milliseconds. */
     public interface Events {
-        void start(double now, Settings settings);
+        void onStart(double now, Settings settings);
 
-        void hosts(double now, ListKind kind, List<Host> hosts);
+        void onHosts(double now, ListKind kind, List<Host> hosts);
 
-        void request(double now, Request request);
+        void onRequest(double now, Request request);
 
-        void streamStarted(double now, String id, int attempt);
+        void onStreamStarted(double now, String id, int attempt);
 
-        void attemptEnded(double now, AttemptResult result);
+        void onAttemptEnded(double now, AttemptResult result);
 
-        void clientLeft(double now, String id);
+        void onClientLeft(double now, String id);
 
-        void timer(double now, String token);
+        void onTimer(double now, String token);
 
-        void probed(double now, String host, Outcome outcome, double latencyMs, double[] report);
+        void onProbeResult(double now, String host, Outcome outcome, double latencyMs, double[] report);
 
-        void peerSaid(double now, int peer, byte[] data);
+        void onPeerMessage(double now, int peer, byte[] data);
 
-        void counted(double now, String counter, Outcome outcome, double total);
+        void onCounterResult(double now, String counter, Outcome outcome, double total);
 
         /**
          * No earlier life of this gateway has spent anything since then, on the clock of {@code now}; told once, right
-         * after {@link #start}, and only where that is certain.
+         * after {@link #onStart}, and only where that is certain.
          */
-        default void aloneSince(double now, double since) { }
+        default void onNoOtherSpenderSince(double now, double since) { }
 
         /**
          * Another process serves in this one's place: what fills from now on is its, and no peer is heard. What is
          * open here, and what still comes, is decided by what was saved.
          */
-        default void replaced(double now) { }
+        default void onReplaced(double now) { }
 
         /** The other process is gone, with what filled meanwhile. */
-        default void restored(double now) { }
+        default void onRestored(double now) { }
 
         /** This gateway ends within some hundred milliseconds: peers are to turn to others. */
-        default void leaving(double now) { }
+        default void onShutdown(double now) { }
 
         /** What it did since it was last asked, by cause, and what is open now: one line for the log. */
-        default String account(double now) {
+        default String takeActivityLine(double now) {
             return "";
         }
 
         /** How many hosts of the list get nothing now, or as little as may be; changes nothing. */
-        default int avoided(double now) {
+        default int avoidedHostCount(double now) {
             return 0;
         }
     }
@@ -143,13 +143,13 @@
 
         void fail(String id);
 
-        void timer(double delayMs, String token);
+        void startTimer(double delayMs, String token);
 
         void probe(String host);
 
-        void tell(int peer, byte[] data);
+        void sendToPeer(int peer, byte[] data);
 
-        void count(String counter, double amount, double lifetimeMs);
+        void addToCounter(String counter, double amount, double lifetimeMs);
 
         void watchHosts();
     }
--- a/gateway/src/main/java/marlford/gateway/State.java
+++ b/gateway/src/main/java/marlford/gateway/EngineState.java
@@ -7,27 +7,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Plan;
-import marlford.gateway.Gateway.Request;
-import marlford.gateway.Gateway.RequestClass;
-import marlford.gateway.gossip.Loans;
-import marlford.gateway.gossip.UseMessage;
-import marlford.gateway.quota.Exchange;
-import marlford.gateway.quota.PeerLife;
-import marlford.gateway.quota.Talk;
-
-/** What one gateway remembers: plain fields and look-ups, no decision; Brain alone reads meaning into them. */
-final class State {
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Plan;
+import marlford.gateway.EngineApi.Request;
+import marlford.gateway.EngineApi.RequestClass;
+import marlford.gateway.gossip.QuotaTransfers;
+import marlford.gateway.gossip.UsageMessage;
+import marlford.gateway.quota.PeerIncarnation;
+import marlford.gateway.quota.QuotaCoordinator;
+import marlford.gateway.quota.QuotaMessage;
+
+/** What one gateway remembers: plain fields and look-ups, no decision; DecisionEngine alone reads meaning into them. */
+final class EngineState {
     static final double NEVER = Double.NEGATIVE_INFINITY;
     static final int EVERYONE = -1; // in the place of a peer
     static final double SLOW_MAX = 12; // largest slowness that is believed
     static final double FORGET_MS = 20_000; // idle so long a customer is forgotten, and not before
     private static final double FILLED = 2; // times the time in which its slowest store fills from nothing
 
-    private State() { }
+    private EngineState() { }
 
     /** From then on an idle customer's stores are as full as those of a new one: forgetting gives nothing. */
     static double forgetMs(Plan p) {
@@ -94,7 +94,7 @@
         final LinkedHashSet<Customer> tells = new LinkedHashSet<>(); // to it as a keeper
         final LinkedHashSet<Customer> answers = new LinkedHashSet<>(); // to it by this gateway as a keeper
         boolean waiting; // stands in the outbox
-        final PeerLife life = new PeerLife();
+        final PeerIncarnation life = new PeerIncarnation();
         int serial; // of the last message to it
         int heardSerial;
         double toldAt = NEVER;
@@ -109,7 +109,7 @@
         /** Whether a message is news: not overtaken on the way, told twice, or of a life before its sender's. */
         boolean hears(double now, int saidLife, int heard) {
             boolean sameLife = life.isKnown() && saidLife == life.number();
-            boolean late = sameLife && !Tell.after(heard, heardSerial);
+            boolean late = sameLife && !LedgerMessage.after(heard, heardSerial);
             if (!life.hears(now, saidLife) || late) return false;
             heardSerial = heard;
             return true;
@@ -136,10 +136,10 @@
 
         /** Units that its broadcasts' total has grown by; all of it where the total is new or began anew. */
         double usedSince(int total) {
-            double since = known ? UseMessage.ahead(total, used) : -1;
+            double since = known ? UsageMessage.ahead(total, used) : -1;
             known = true;
             used = total;
-            return since < 0 ? UseMessage.units(total) : since;
+            return since < 0 ? UsageMessage.units(total) : since;
         }
     }
 
@@ -156,8 +156,8 @@
         double tokens; // the own bucket
         double level; // the whole store: as a keeper what is booked, else the most that it can hold
         double ceiling;
-        double leasedSince; // when what is leased of the ceiling came here, or Leases.NOT
-        final Loans loans = new Loans(); // of its ceiling
+        double leasedSince; // when what is leased of the ceiling came here, or TwoPartyLeases.NOT
+        final QuotaTransfers loans = new QuotaTransfers(); // of its ceiling
         double touchedAt;
         double demand;
         double others; // demand of the other gateways
@@ -180,8 +180,8 @@
             this.touchedAt = now;
         }
 
-        Talk.Named named() {
-            return new Talk.Named(id, planNumber, first, spread);
+        QuotaMessage.Named named() {
+            return new QuotaMessage.Named(id, planNumber, first, spread);
         }
 
         /** What is known between this gateway and a peer on this customer, new for each life of the peer. */
@@ -333,7 +333,7 @@
         int keeper; // its number
         int askSerial; // of the message that asked
         double answerBy; // when its answer counts as missing
-        Exchange.Grant grant; // units to give back where none are used
+        QuotaCoordinator.Grant grant; // units to give back where none are used
         double leaveBy = Double.POSITIVE_INFINITY; // its units are good until then
 
         Ask(Request request, ClassState cls, Customer customer) {
--- a/gateway/src/main/java/marlford/gateway/HostStarts.java
+++ b/gateway/src/main/java/marlford/gateway/HostStarts.java
@@ -25,8 +25,8 @@
     }
 
     /** Takes note of a word of discovery, ahead of the estimates for its hosts. */
-    void telling(Iterable<Gateway.Host> hosts) {
-        for (Gateway.Host host : hosts) {
+    void telling(Iterable<EngineApi.Host> hosts) {
+        for (EngineApi.Host host : hosts) {
             youngestStartedMs = Math.max(youngestStartedMs, host.startedMs());
         }
     }
@@ -41,7 +41,7 @@
     }
 
     /** The word has been taken; {@code kind} tells whether it is an agent's, or the configuration's list. */
-    void told(Gateway.ListKind kind) {
-        listKnown |= kind != Gateway.ListKind.CACHED;
+    void told(EngineApi.ListKind kind) {
+        listKnown |= kind != EngineApi.ListKind.CACHED;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/Tell.java
+++ b/gateway/src/main/java/marlford/gateway/LedgerMessage.java
@@ -10,7 +10,7 @@
  * receiver, its own count of messages to the receiver and the last one it had from there; then entries on
  * customers. Translation only: amounts are fixed point, held within what their field can say.
  */
-record Tell(int epoch, int yourEpoch, int serial, int yourSerial, List<Entry> entries) {
+record LedgerMessage(int epoch, int yourEpoch, int serial, int yourSerial, List<Entry> entries) {
     static final int HEAD_BYTES = 16;
     static final int ENTRY_BYTES = 27; // the longest entry
     private static final byte VERSION = 3;
@@ -90,7 +90,7 @@
     }
 
     /** Null where the message is short, damaged or of another version. */
-    static Tell read(byte[] data) {
+    static LedgerMessage read(byte[] data) {
         ByteBuffer b = Frame.open(data, VERSION, HEAD_BYTES, Integer.MAX_VALUE);
         if (b == null) return null;
         try {
@@ -101,7 +101,7 @@
             int count = b.get() & 0xff;
             List<Entry> entries = new ArrayList<>(count);
             while (entries.size() < count) entries.add(Entry.get(b));
-            return b.hasRemaining() ? null : new Tell(epoch, yourEpoch, serial, yourSerial, entries);
+            return b.hasRemaining() ? null : new LedgerMessage(epoch, yourEpoch, serial, yourSerial, entries);
         } catch (java.nio.BufferUnderflowException e) {
             return null;
         }
--- a/gateway/src/main/java/marlford/gateway/Main.java
+++ b/gateway/src/main/java/marlford/gateway/Main.java
@@ -15,7 +15,7 @@
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> marlford.gateway.net.Node.main(System.getenv("NODE_CONFIG"));
-            case "rehearse" -> marlford.gateway.net.Rehearsal.run();
+            case "rehearse" -> marlford.gateway.net.StartupRehearsal.run();
             case "wirehost" -> marlford.gateway.wire.Main.main(args);
             default -> {
                 System.err.println("usage: deckfall serve | rehearse | wirehost");
--- a/gateway/src/main/java/marlford/gateway/console/Desk.java
+++ b/gateway/src/main/java/marlford/gateway/console/AdminCommands.java
@@ -1,7 +1,7 @@
 package marlford.gateway.console;
 
 /** What operators may ask of a gateway. All of it returns at once and may be called from any thread. */
-public interface Desk {
+public interface AdminCommands {
     /** Whether clients are served here: not before the listener is open, while emptied, or once an end was asked for. */
     boolean ready();
 
--- a/gateway/src/main/java/marlford/gateway/console/Console.java
+++ b/gateway/src/main/java/marlford/gateway/console/Console.java
@@ -47,11 +47,11 @@
     private static final long LOOK_MS = 250; // how often the other process's word is looked for
     private static final int BACKLOG = 64;
 
-    private final Desk desk;
-    private final Figures figures;
+    private final AdminCommands commands;
+    private final ServiceMetrics figures;
     private final Map<String, Supplier<String>> pages;
     private final Consumer<String> log;
-    private final LeftOut leftOut;
+    private final ExcludedHosts excludedHosts;
     private volatile Set<String> hosts; // those left out
     private final LinkedHashSet<Channel> unheard = new LinkedHashSet<>(); // the oldest first
     private int connections;
@@ -63,14 +63,14 @@
      * @param folder where what operators said outlives the process; null for nowhere
      * @param log takes one line for each call that changes something, and for each failure
      */
-    public Console(Desk desk, Figures figures, Map<String, Supplier<String>> pages, Path folder, Consumer<String> log)
+    public Console(AdminCommands commands, ServiceMetrics figures, Map<String, Supplier<String>> pages, Path folder, Consumer<String> log)
             throws IOException {
-        this.desk = desk;
+        this.commands = commands;
         this.figures = figures;
         this.pages = Map.copyOf(pages);
         this.log = log;
-        this.leftOut = new LeftOut(folder, log);
-        this.hosts = leftOut.hosts();
+        this.excludedHosts = new ExcludedHosts(folder, log);
+        this.hosts = excludedHosts.hosts();
     }
 
     /** The hosts that operators left out; from any thread. */
@@ -116,7 +116,7 @@
 
     private void look() {
         try {
-            if (leftOut.look()) {
+            if (excludedHosts.look()) {
                 changed("as the other process was told");
             }
         } catch (IOException | RuntimeException e) {
@@ -125,9 +125,9 @@
     }
 
     private void changed(String why) {
-        hosts = leftOut.hosts();
+        hosts = excludedHosts.hosts();
         log.accept("console: left out: " + hosts + ", " + why);
-        desk.leftOutChanged();
+        commands.leftOutChanged();
     }
 
     private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -168,7 +168,7 @@
                     status = HttpResponseStatus.OK;
                     text = figures.text();
                 } else if (reads && call.uri().equals("/admin/health")) {
-                    status = desk.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+                    status = commands.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
                 } else if (reads && pages.containsKey(call.uri())) {
                     status = HttpResponseStatus.OK;
                     text = pages.get(call.uri()).get();
@@ -198,7 +198,7 @@
                     if (!known(host)) {
                         return HttpResponseStatus.NOT_FOUND;
                     }
-                    if (!leftOut.add(host)) {
+                    if (!excludedHosts.add(host)) {
                         return HttpResponseStatus.INSUFFICIENT_STORAGE;
                     }
                     changed("with " + host);
@@ -207,16 +207,16 @@
                     if (!known(host)) {
                         return HttpResponseStatus.NOT_FOUND;
                     }
-                    leftOut.remove(host);
+                    excludedHosts.remove(host);
                     changed("without " + host);
                 }
                 case "/admin/quiesce" -> {
                     log.accept("console: clients are sent away");
-                    desk.quiesce();
+                    commands.quiesce();
                 }
                 case "/admin/resume" -> {
                     log.accept("console: back to work");
-                    desk.resume();
+                    commands.resume();
                 }
                 default -> {
                     return HttpResponseStatus.NOT_FOUND;
@@ -230,6 +230,6 @@
     }
 
     private boolean known(String host) {
-        return !host.isEmpty() && (desk.knows(host) || hosts.contains(host));
+        return !host.isEmpty() && (commands.knows(host) || hosts.contains(host));
     }
 }
--- a/gateway/src/main/java/marlford/gateway/console/LeftOut.java
+++ b/gateway/src/main/java/marlford/gateway/console/ExcludedHosts.java
@@ -21,7 +21,7 @@
  *
  * <p>Bound: {@value #MAX} hosts; one more is not taken, and the operator is told so. Not thread-safe.
  */
-final class LeftOut {
+final class ExcludedHosts {
     static final int MAX = 1024; // hosts
     private static final int NAME_MAX = 180; // bytes of an id: its file's name is a third longer, and 255 at most
 
@@ -33,7 +33,7 @@
      *
      * @param log takes one line where the folder can't be read
      */
-    LeftOut(Path folder, Consumer<String> log) {
+    ExcludedHosts(Path folder, Consumer<String> log) {
         this.folder = folder;
         try {
             look();
--- a/gateway/src/main/java/marlford/gateway/console/Figures.java
+++ b/gateway/src/main/java/marlford/gateway/console/ServiceMetrics.java
@@ -8,7 +8,7 @@
  * What a gateway has done since its start, counted by one event loop and read by any thread. A reader sees each count
  * as it was a moment ago; two counts that one event changes need not be of the same moment.
  */
-public final class Figures {
+public final class ServiceMetrics {
     /** How a request ended. */
     public enum End { ANSWERED, DEFERRED, ERRORED }
 
@@ -23,7 +23,7 @@
     private enum Plain { SENDS, CURRENT, CLUSTER_SIZE, CLUSTER_UNHEALTHY }
 
     /** @param classes the names of the classes of requests */
-    public Figures(List<String> classes) {
+    public ServiceMetrics(List<String> classes) {
         this.classes = List.copyOf(classes);
         this.ends = new AtomicLongArray(classes.size() * ENDS);
     }
--- a/gateway/src/main/java/marlford/gateway/gossip/Rounds.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/GossipScheduler.java
@@ -20,7 +20,7 @@
  * customers wait or are repeated; beyond it the one that has waited longest is left out, and is told when it changes
  * again. Not thread-safe; it belongs to one event loop.
  */
-public final class Rounds {
+public final class GossipScheduler {
     private static final int REPEATS = 3; // at one loss in ten, one change in ten thousand is not heard
     private static final double JITTER = 0.25; // of the gap, to both sides
 
@@ -37,7 +37,7 @@
      * @param gapMs mean time between messages, in milliseconds; above 0
      * @param most customers that may wait, at least 1
      */
-    public Rounds(double now, double gapMs, int most, Random random) {
+    public GossipScheduler(double now, double gapMs, int most, Random random) {
         this.gapMs = gapMs;
         this.most = most;
         this.random = random;
--- a/gateway/src/main/java/marlford/gateway/gossip/Loans.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/QuotaTransfers.java
@@ -19,7 +19,7 @@
  * <p>Pure: every call brings its time, in milliseconds. Bound: one asking for each gateway of the customer's set. Not
  * thread-safe; it belongs to one event loop.
  */
-public final class Loans {
+public final class QuotaTransfers {
     /** How long an asking may be answered, in milliseconds: two rounds of a tier of thirty, and the way. */
     public static final double TERM_MS = 1500;
     private static final double APART_MS = 50; // the giver's term is longer by what timers and clocks may differ
--- a/gateway/src/main/java/marlford/gateway/gossip/UseMessage.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/UsageMessage.java
@@ -16,7 +16,7 @@
  * @param wants at most {@link #LOANS}
  * @param gifts at most {@link #LOANS}
  */
-public record UseMessage(int life, int count, List<Entry> entries, List<Want> wants, List<Gift> gifts) {
+public record UsageMessage(int life, int count, List<Entry> entries, List<Want> wants, List<Gift> gifts) {
     /** Wants, and gifts as well, that fit in a message beside entries. */
     public static final int LOANS = 5;
     private static final int MOST_BYTES = 256;
@@ -124,7 +124,7 @@
     }
 
     /** Null where the bytes are no such message: short, long, damaged or of another version. */
-    public static UseMessage read(byte[] data) {
+    public static UsageMessage read(byte[] data) {
         ByteBuffer b = Frame.open(data, VERSION, HEAD_BYTES, MOST_BYTES);
         if (b == null) {
             return null;
@@ -152,7 +152,7 @@
             gifts.add(new Gift(customer(b.get() & BYTE, b), b.getShort() & WORD, b.getShort() & WORD,
                     b.getShort() & WORD, (b.get() & BYTE) / PER_LOAN));
         }
-        return new UseMessage(life, count, entries, wants, gifts);
+        return new UsageMessage(life, count, entries, wants, gifts);
     }
 
     private static long customer(int head, ByteBuffer b) {
--- a/gateway/src/main/java/marlford/gateway/guard/AttemptGuard.java
+++ b/gateway/src/main/java/marlford/gateway/guard/AttemptGuard.java
@@ -1,12 +1,12 @@
 package marlford.gateway.guard;
 
 import java.util.List;
-import marlford.gateway.Gateway.Effect;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.Limits;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.EngineApi.Effect;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.Limits;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.RequestClass;
 
 /**
  * The rules on attempts, told apart from the decision module that is to keep them: what it asks for is held against them before
--- a/gateway/src/main/java/marlford/gateway/lease/Leases.java
+++ b/gateway/src/main/java/marlford/gateway/lease/TwoPartyLeases.java
@@ -20,7 +20,7 @@
  * <p>Pure: every call brings its time, in milliseconds. Bound: four numbers for each peer. Not thread-safe; it
  * belongs to one event loop.
  */
-public final class Leases {
+public final class TwoPartyLeases {
     /**
      * @param holdMs how long, in milliseconds, the holder's term lasts from the leaving of an answered message; above 0
      * @param takeMs silence, in milliseconds, after which the heir takes over; above holdMs
@@ -47,7 +47,7 @@
     private final double[] takenSince;
 
     /** @param now nobody is taken for silent before takeMs from here have passed */
-    public Leases(Terms terms, int peers, double now) {
+    public TwoPartyLeases(Terms terms, int peers, double now) {
         this.terms = terms;
         asked = new int[peers];
         Arrays.fill(asked, NONE);
--- a/gateway/src/main/java/marlford/gateway/list/HostList.java
+++ b/gateway/src/main/java/marlford/gateway/list/HostList.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
 
 /**
  * What a gateway holds of discovery's list, which of its words it takes, and how far it may go by a list that nobody
--- a/gateway/src/main/java/marlford/gateway/list/ListLimit.java
+++ b/gateway/src/main/java/marlford/gateway/list/HostListLimit.java
@@ -5,7 +5,7 @@
  *
  * @param hosts on one list at most; above 0
  */
-public record ListLimit(int hosts) {
+public record HostListLimit(int hosts) {
     /** Of the heap, for hosts; the rest is for requests, connections and the program itself. */
     private static final double HEAP_SHARE = 0.75;
     /**
@@ -14,14 +14,14 @@
      */
     private static final double HEAP_PER_HOST = 1150;
 
-    public ListLimit {
+    public HostListLimit {
         if (hosts <= 0) {
             throw new IllegalArgumentException("limit of a list out of range");
         }
     }
 
     /** That of a process with this heap. */
-    public static ListLimit ofHeap(long bytes) {
-        return new ListLimit((int) Math.max(1, Math.min(Integer.MAX_VALUE, bytes * HEAP_SHARE / HEAP_PER_HOST)));
+    public static HostListLimit ofHeap(long bytes) {
+        return new HostListLimit((int) Math.max(1, Math.min(Integer.MAX_VALUE, bytes * HEAP_SHARE / HEAP_PER_HOST)));
     }
 }
--- a/gateway/src/main/java/marlford/gateway/list/CallPace.java
+++ b/gateway/src/main/java/marlford/gateway/list/PollingBackoff.java
@@ -20,7 +20,7 @@
  * <p>Pure: every method brings its time, in milliseconds; the source of chance is the caller's. Not thread-safe; it
  * belongs to one event loop.
  */
-public final class CallPace {
+public final class PollingBackoff {
     static final long TOLD_MS = 6000; // the platform's own limit
     static final long CONNECT_MAX_MS = 1000; // for a connection to an agent
     static final long ANSWER_MS = 500; // for a list once the connection stands
@@ -56,7 +56,7 @@
      * @param pushed whether the agent is told by itself, and answers at once and at no cost; else it is one service for
      *     the whole tier, which short waits of all would only make later
      */
-    public CallPace(Random random, double graceMs, boolean pushed) {
+    public PollingBackoff(Random random, double graceMs, boolean pushed) {
         this.random = random;
         this.againMaxMs = pushed ? (long) Math.min(AGAIN_MAX_MS, Math.max(AGAIN_MS, AGAIN_SHARE * graceMs)) : AGAIN_MAX_MS;
         this.answerMs = pushed ? (long) Math.min(PATIENCE_MS, Math.max(PATIENCE_LEAST_MS, ANSWER_SHARE * graceMs)) : PATIENCE_MS;
--- a/gateway/src/main/java/marlford/gateway/account/Account.java
+++ b/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
@@ -1,14 +1,14 @@
-package marlford.gateway.account;
+package marlford.gateway.metrics;
 
 import java.util.Locale;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.quota.Exchange;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.quota.QuotaCoordinator;
 
 /**
  * What one gateway did since it was last asked, by cause: the line that it logs every second, so that a fleet's logs can
  * be added up by second. Pure. Bound: one number for each {@link Item}. Not thread-safe; it belongs to one event loop.
  */
-public final class Account {
+public final class ActivityCounters {
     /** What is counted. */
     public enum Item {
         /** Requests of clients, their retries too. */
@@ -47,8 +47,8 @@
         HEARD;
 
         /** Why a request was not let in where keepers are asked. */
-        public static Item of(Exchange.Why why) {
-            return why == Exchange.Why.STORE ? QUOTA : why == Exchange.Why.CEILING ? CEILING : KEEPER;
+        public static Item of(QuotaCoordinator.Why why) {
+            return why == QuotaCoordinator.Why.STORE ? QUOTA : why == QuotaCoordinator.Why.CEILING ? CEILING : KEEPER;
         }
 
         /** How an attempt ended. */
--- a/gateway/src/main/java/marlford/gateway/net/Operators.java
+++ b/gateway/src/main/java/marlford/gateway/net/AdminCommandHandler.java
@@ -2,13 +2,13 @@
 
 import java.util.Set;
 import java.util.concurrent.Executor;
-import marlford.gateway.console.Desk;
+import marlford.gateway.console.AdminCommands;
 
 /**
  * What operators ask of a node, handed from the console's loop to the node's own. What the console must know at once is
  * published here by the node's loop, so that no answer waits for it.
  */
-final class Operators implements Desk {
+final class AdminCommandHandler implements AdminCommands {
     private final Executor loop;
     private final Runnable quiesce;
     private final Runnable resume;
@@ -17,7 +17,7 @@
     private volatile Set<String> listed = Set.of();
 
     /** @param loop runs the others, in their order */
-    Operators(Executor loop, Runnable quiesce, Runnable resume, Runnable leaveOut) {
+    AdminCommandHandler(Executor loop, Runnable quiesce, Runnable resume, Runnable leaveOut) {
         this.loop = loop;
         this.quiesce = quiesce;
         this.resume = resume;
--- a/gateway/src/main/java/marlford/gateway/net/Attempt.java
+++ b/gateway/src/main/java/marlford/gateway/net/Attempt.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
-import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.EngineApi.Outcome;
 
 /** One attempt of an open request at one host. */
 final class Attempt extends HostConnection.Exchange {
@@ -48,7 +48,7 @@
 
     @Override
     void written() {
-        if (owner.message instanceof LongRequest) {
+        if (owner.message instanceof StreamedRequest) {
             sentAt = node.clock.now();
         }
         node.figures.sent();
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -26,12 +26,12 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import marlford.gateway.Gateway.Request;
-import marlford.gateway.console.Figures;
-import marlford.gateway.end.Linger;
+import marlford.gateway.EngineApi.Request;
+import marlford.gateway.console.ServiceMetrics;
 import marlford.gateway.guard.ClientProgress;
 import marlford.gateway.guard.ClientProgress.Stopped;
 import marlford.gateway.guard.Rule;
+import marlford.gateway.shutdown.LingeringClose;
 
 /** One client connection: one request at a time, in order; what is sent ahead waits its turn. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
@@ -55,8 +55,8 @@
     private record Waiting(Object message, double arrivedMs) { }
 
     private final Node node;
-    private final ClientPlaces places;
-    private final RequestTerms terms;
+    private final ClientConnectionRegistry places;
+    private final RequestParser terms;
     private final Channel channel;
     private final long number;
     private final double waitedMs;
@@ -80,16 +80,16 @@
     private int faults;
     private Runnable more; // of the answer that goes out as it comes; null where none does
     private boolean paused;
-    private Upload upload; // the rest of the body of the request under way; null where all of it is here
+    private RequestBodyStream upload; // the rest of the body of the request under way; null where all of it is here
     private boolean answered; // that request, though more of its body may come
     private CloseReason closing; // null until this side ends the connection
-    private Linger linger; // null until the last answer has left
+    private LingeringClose linger; // null until the last answer has left
 
     /**
      * @param number of the connection, counted from the process's start
      * @param waitedMs for how long it may have waited to be accepted
      */
-    ClientConnection(Node node, ClientPlaces places, RequestTerms terms, Channel channel, long number, double waitedMs) {
+    ClientConnection(Node node, ClientConnectionRegistry places, RequestParser terms, Channel channel, long number, double waitedMs) {
         this.waitedMs = waitedMs;
         this.number = number;
         this.node = node;
@@ -123,7 +123,7 @@
             close(left.isSuccess() ? CloseReason.LAST_ANSWER : CloseReason.LAST_ANSWER_FAILED);
             return;
         }
-        linger = new Linger(node.clock.now());
+        linger = new LingeringClose(node.clock.now());
         places.linger(this);
         freeWaiting();
         reader.forget(bytes -> {
@@ -165,7 +165,7 @@
         waiting.clear(); // first, as letting go of a body may look here
         places.readAhead(-waitingBytes);
         waitingBytes = 0;
-        ahead.forEach(w -> LongRequest.free(w.message()));
+        ahead.forEach(w -> StreamedRequest.free(w.message()));
     }
 
     /** Since when it has been idle, on the node's clock. */
@@ -289,7 +289,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (ended) {
-            LongRequest.free(message);
+            StreamedRequest.free(message);
             return;
         }
         if (upload != null && !upload.over()) { // a body that can't be read: its request will never be whole
@@ -351,7 +351,7 @@
             steer();
             busy = true;
             answered = false;
-            upload = LongRequest.restOf(message);
+            upload = StreamedRequest.restOf(message);
             places.inUse(this);
             if (message instanceof RequestReader.Unreadable) {
                 keepAlive = false; // where the next request would begin is not known
@@ -419,12 +419,12 @@
 
     /** Whether the last request that waits has a long body, of which as much was read as is kept. */
     private boolean isLongBodyAhead() {
-        Upload ahead = waiting.isEmpty() ? null : LongRequest.restOf(waiting.peekLast().message());
+        RequestBodyStream ahead = waiting.isEmpty() ? null : StreamedRequest.restOf(waiting.peekLast().message());
         return ahead != null && ahead.full();
     }
 
     /** A long body has come whole: its last part may go on where the client has not left behind it. */
-    private void confirm(Upload body) {
+    private void confirm(RequestBodyStream body) {
         if (readToEnd() != Presence.LEFT) {
             body.confirm();
         }
@@ -442,7 +442,7 @@
         keepAlive = HttpUtil.isKeepAlive(request);
         chunks = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
         if (request.uri().equals(READY)) {
-            LongRequest.free(request);
+            StreamedRequest.free(request);
             answer(node.takesClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             return;
         }
@@ -450,14 +450,14 @@
         double turn = now - node.lag.ms(); // the decision module holds it from its turn on, as it held nothing up before
         Request read = terms.read(request, now, arrivedMs, Math.max(arrivedMs, turn), restMs());
         if (read == null || node.knows(read.id())) {
-            boolean unknown = !request.headers().contains(RequestTerms.ID);
-            LongRequest.free(request);
+            boolean unknown = !request.headers().contains(RequestParser.ID);
+            StreamedRequest.free(request);
             fault();
             answer(unknown ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
         } else if (node.full()) {
-            LongRequest.free(request);
+            StreamedRequest.free(request);
             node.events.refused(read.id(), node.isOver() ? EventLog.Refusal.ENDING : EventLog.Refusal.TOO_MANY_OPEN);
-            node.figures.ended(read.requestClass(), Figures.End.DEFERRED);
+            node.figures.ended(read.requestClass(), ServiceMetrics.End.DEFERRED);
             answer(HttpResponseStatus.SERVICE_UNAVAILABLE, node.config.settings().limits().maxRetryAfterMs());
         } else {
             requests++;
@@ -495,7 +495,7 @@
 
     private void setType(HttpResponse from, HttpResponse to) {
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
-        if (type != null && RequestTerms.isWithin(type, ' ', '~')) { // else not to be passed on
+        if (type != null && RequestParser.isWithin(type, ' ', '~')) { // else not to be passed on
             to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
         }
     }
--- a/gateway/src/main/java/marlford/gateway/net/ClientPlaces.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnectionRegistry.java
@@ -7,7 +7,7 @@
  * The connections of clients: which are open, which of them are idle and of what kind, and which gives way where there are
  * too many. On the event loop.
  */
-final class ClientPlaces {
+final class ClientConnectionRegistry {
     private static final double SOCKET_SHARE = 0.42; // of all descriptors; the program itself needs some, too
     private static final double NEWCOMERS_SHARE = 0.25; // of the connections: so many may have asked nothing yet
     private static final double PRESSED_SHARE = 0.5; // of the connections that fit: then idle ones give way early
@@ -33,7 +33,7 @@
     private long readAhead; // bytes of requests that wait their turn, on all connections
 
     /** @param descriptors that the process may hold */
-    ClientPlaces(int descriptors) {
+    ClientConnectionRegistry(int descriptors) {
         this.mostConnections = (int) (descriptors * SOCKET_SHARE);
         this.maxConnections = mostConnections;
     }
--- a/gateway/src/main/java/marlford/gateway/net/Leavings.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientDepartureCounters.java
@@ -5,7 +5,7 @@
  * nothing had left for a host by then, {@code left_served} the others, and {@code sent_for_left} the attempts that were written
  * more than {@value #SOON_MS} ms after their client was seen to leave, which is to stay 0. On the event loop.
  */
-final class Leavings {
+final class ClientDepartureCounters {
     /** By the operators' term no attempt begins later than that after its client left. */
     static final double SOON_MS = 100;
 
--- a/gateway/src/main/java/marlford/gateway/net/ClientServer.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientServer.java
@@ -14,8 +14,8 @@
     private static final double ASKS_WITHIN_MS = 200; // of connecting: the longest way there and back, and a late loop
 
     private final Node node;
-    private final RequestTerms terms;
-    private final ClientPlaces places;
+    private final RequestParser terms;
+    private final ClientConnectionRegistry places;
     private Channel listener;
     private AcceptRetry acceptRetry; // of that listener
     private long accepted; // connections since the start
@@ -24,8 +24,8 @@
 
     ClientServer(Node node) {
         this.node = node;
-        this.terms = new RequestTerms(node.config.settings());
-        this.places = new ClientPlaces(node.config.sockets());
+        this.terms = new RequestParser(node.config.settings());
+        this.places = new ClientConnectionRegistry(node.config.sockets());
     }
 
     /** Clients are served once this is done. */
--- a/gateway/src/main/java/marlford/gateway/net/Reload.java
+++ b/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
@@ -22,7 +22,7 @@
  *
  * <p>Before the virtual machine takes signals, SIGHUP ends the process; the deploy file starts it with SIGHUP ignored.
  */
-final class Reload {
+final class ConfigurationReloader {
     static final long LOOK_MS = 250; // how often the file is looked at
 
     /**
@@ -62,14 +62,14 @@
     private boolean bad; // so it must be read again
     private boolean hungUp;
 
-    private Reload(String file) {
+    private ConfigurationReloader(String file) {
         this.file = file;
     }
 
     /** Takes the signal from now on. Java has no other way to it than this class, which all its releases keep. */
     @SuppressWarnings("sunapi")
-    static Reload onHangup(String file) {
-        Reload reload = new Reload(file);
+    static ConfigurationReloader onHangup(String file) {
+        ConfigurationReloader reload = new ConfigurationReloader(file);
         SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reload.hangUp());
         if (before == SignalHandler.SIG_IGN) {
             Node.log("deckfall: SIGHUP is ignored since before the start: a replaced file is seen " + LOOK_MS
--- a/gateway/src/main/java/marlford/gateway/net/Discovery.java
+++ b/gateway/src/main/java/marlford/gateway/net/Discovery.java
@@ -29,11 +29,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.list.CallPace;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.ListKind;
 import marlford.gateway.list.HostList;
-import marlford.gateway.list.ListLimit;
+import marlford.gateway.list.HostListLimit;
+import marlford.gateway.list.PollingBackoff;
 
 /**
  * Asks an agent for the whole list of hosts, then watches it without a break; a silent or broken call is asked anew.
@@ -55,8 +55,8 @@
 
     private final Node node;
     private final HostList list;
-    private final CallPace pace;
-    private final ListLimit limit;
+    private final PollingBackoff pace;
+    private final HostListLimit limit;
     private InetSocketAddress agent;
     private Calls current;
     private Calls previous; // the watch of the agent that was left, until the new one speaks
@@ -70,16 +70,16 @@
     private boolean awaitsList; // the start's time for one is not over
 
     Discovery(Node node) {
-        this(node, ListLimit.ofHeap(Runtime.getRuntime().maxMemory()));
+        this(node, HostListLimit.ofHeap(Runtime.getRuntime().maxMemory()));
     }
 
     /** With a limit of the caller's making. */
-    Discovery(Node node, ListLimit limit) {
+    Discovery(Node node, HostListLimit limit) {
         this.node = node;
         this.limit = limit;
         this.agent = node.config.discovery();
         this.list = new HostList(HostList.Limits.DEFAULT, node.clock.now());
-        this.pace = new CallPace(new Random(node.config.settings().seed()),
+        this.pace = new PollingBackoff(new Random(node.config.settings().seed()),
                 node.config.settings().rules().drainGraceMs(), !node.config.settings().subscribe());
     }
 
@@ -247,7 +247,7 @@
         }
         InetSocketAddress asked = agent;
         AtomicBoolean over = new AtomicBoolean(); // the turn is had or given up
-        Consumer<ListTurn.Told> turn = told -> onLoop(() -> {
+        Consumer<SharedListFetch.Told> turn = told -> onLoop(() -> {
             if (!over.getAndSet(true) && before == current) {
                 goOn(before, asked, told);
             }
@@ -267,7 +267,7 @@
     }
 
     /** It is this gateway's turn to call, or a list came that another was told. */
-    private void goOn(Calls before, InetSocketAddress asked, ListTurn.Told told) {
+    private void goOn(Calls before, InetSocketAddress asked, SharedListFetch.Told told) {
         if (told != null && !taken(asked, told)) { // as one of an agent that counts anew, for a while
             node.loop.schedule(() -> retry(before), pace.broke(node.clock.now()), TimeUnit.MILLISECONDS);
             return;
@@ -286,7 +286,7 @@
     }
 
     /** Takes a list that another gateway was told, as if the agent had told it here. */
-    private boolean taken(InetSocketAddress by, ListTurn.Told told) {
+    private boolean taken(InetSocketAddress by, SharedListFetch.Told told) {
         try {
             HostListParser parser = new HostListParser(limit.hosts());
             parser.feed(told.text().getBytes(StandardCharsets.UTF_8));
@@ -409,7 +409,7 @@
             long from = list.version(to);
             whole = from == HostList.NONE;
             double now = node.clock.now();
-            long limitMs = whole ? pace.patienceMs() : this == current ? pace.watchMs(now) : CallPace.WATCH_MS;
+            long limitMs = whole ? pace.patienceMs() : this == current ? pace.watchMs(now) : PollingBackoff.WATCH_MS;
             String uri = whole ? PATH : PATH + "?from=" + from + "&hold_ms=" + pace.holdMs(limitMs);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
                     Unpooled.EMPTY_BUFFER);
@@ -448,7 +448,7 @@
 
         void takeTurn(boolean mine) {
             inTurn = mine;
-            lists.keepText(mine && node.lists() != ListTurn.NONE ? TEXT_MAX : 0);
+            lists.keepText(mine && node.lists() != SharedListFetch.NONE ? TEXT_MAX : 0);
         }
 
         private void stopTimeout() {
--- a/gateway/src/main/java/marlford/gateway/net/EventLog.java
+++ b/gateway/src/main/java/marlford/gateway/net/EventLog.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 import java.util.function.Consumer;
-import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.EngineApi.Outcome;
 
 /**
  * Says what happens to requests and connections, and why: counted by reason for the line of each second, and, where the process
--- a/gateway/src/main/java/marlford/gateway/net/LoopLag.java
+++ b/gateway/src/main/java/marlford/gateway/net/EventLoopLag.java
@@ -7,7 +7,7 @@
  * How late the event loop comes to what waits for it: a beat against its due time. What is read now may have stood
  * in its socket for so long, so its time is counted from before the loop was busy, not from the reading.
  */
-final class LoopLag {
+final class EventLoopLag {
     private static final long BEAT_MS = 20;
     private static final double GRAIN_MS = 10; // less is the timers' own doing
 
@@ -16,7 +16,7 @@
     private double due;
     private double last;
 
-    LoopLag(Clock clock, EventLoop loop) {
+    EventLoopLag(Clock clock, EventLoop loop) {
         this.clock = clock;
         this.loop = loop;
     }
--- a/gateway/src/main/java/marlford/gateway/net/Extras.java
+++ b/gateway/src/main/java/marlford/gateway/net/GatewayExtensions.java
@@ -12,7 +12,7 @@
  * @param lists says whose turn it is to ask an agent for its list
  * @param serving is given the gateway once it serves clients
  */
-public record Extras(Map<String, Supplier<String>> pages, Usage usage, ListTurn lists, Consumer<Inside> serving) {
+public record GatewayExtensions(Map<String, Supplier<String>> pages, UsageRecorder usage, SharedListFetch lists, Consumer<ServingGateway> serving) {
     /** A gateway that stands alone. */
-    public static final Extras NONE = new Extras(Map.of(), Usage.NONE, ListTurn.NONE, inside -> { });
+    public static final GatewayExtensions NONE = new GatewayExtensions(Map.of(), UsageRecorder.NONE, SharedListFetch.NONE, inside -> { });
 }
--- a/gateway/src/main/java/marlford/gateway/net/HostClient.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostClient.java
@@ -31,9 +31,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.accept.Backoff;
 
 /** The pools of connections to hosts, and what is sent on them. */
@@ -218,16 +218,16 @@
     private FullHttpRequest attemptMessage(Attempt a) {
         node.leaves(a);
         FullHttpRequest from = a.owner.message;
-        Upload rest = LongRequest.restOf(from);
+        RequestBodyStream rest = StreamedRequest.restOf(from);
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri());
         HttpHeaders h = head.headers();
         h.set(HttpHeaderNames.HOST, HOST);
-        h.set(RequestTerms.ID, a.owner.request.id());
-        h.set(RequestTerms.EXPIRES,
+        h.set(RequestParser.ID, a.owner.request.id());
+        h.set(RequestParser.EXPIRES,
                 Long.toString((long) Math.max(1, a.owner.request.deadlineMs() - node.clock.now())));
-        String key = from.headers().get(RequestTerms.KEY);
+        String key = from.headers().get(RequestParser.KEY);
         if (key != null) {
-            h.set(RequestTerms.KEY, key);
+            h.set(RequestParser.KEY, key);
         }
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
@@ -240,7 +240,7 @@
             } else {
                 HttpUtil.setContentLength(head, rest.length());
             }
-            return new LongRequest(head, kept, rest);
+            return new StreamedRequest(head, kept, rest);
         }
         if (!from.method().equals(HttpMethod.GET)) {
             h.setInt(HttpHeaderNames.CONTENT_LENGTH, kept.readableBytes());
--- a/gateway/src/main/java/marlford/gateway/net/HostConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostConnection.java
@@ -27,7 +27,7 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.EngineApi.Outcome;
 
 /**
  * One connection to a host. It carries one exchange at a time, puts its answer together, and goes back to its pool
@@ -59,7 +59,7 @@
     private boolean begun; // of the answer, something has come
     private HttpResponse head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
-    private Upload upload; // the rest of the request, on its way; null where all of it was written
+    private RequestBodyStream upload; // the rest of the request, on its way; null where all of it was written
     private long untaken; // bytes of it that had not left at the last look
     private double takenAt; // when bytes of it were last seen to leave
     private Sink sink; // takes the answer as it comes; null where it is put together here
@@ -204,11 +204,11 @@
         await(x);
         written = begun = clean = false;
         interim = 0;
-        if (message instanceof LongRequest) {
+        if (message instanceof StreamedRequest) {
             channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(),
                     message.headers()), channel.voidPromise());
             channel.writeAndFlush(new DefaultHttpContent(message.content()), channel.voidPromise());
-            upload = ((LongRequest) message).rest;
+            upload = ((StreamedRequest) message).rest;
             takenAt = clock.now();
             untaken = 0;
             upload.to(taker);
@@ -248,7 +248,7 @@
         }
     }
 
-    private final Upload.Taker taker = new Upload.Taker() {
+    private final RequestBodyStream.Taker taker = new RequestBodyStream.Taker() {
         @Override
         public boolean ready() {
             return channel.isWritable();
@@ -269,7 +269,7 @@
 
     /** The body that was on its way goes no further here. */
     private void leaveUpload() {
-        Upload left = upload;
+        RequestBodyStream left = upload;
         upload = null;
         if (left != null) {
             left.leave(taker);
--- a/gateway/src/main/java/marlford/gateway/net/HostEntryReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostEntryReader.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
 
 /** The fields of one entry of a list of hosts, and the host that they make. One after another; not thread-safe. */
 final class HostEntryReader {
--- a/gateway/src/main/java/marlford/gateway/net/HostStates.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostStateTracker.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
 
 /** What was last told of each host, and when its state last changed. On the event loop. */
-final class HostStates {
+final class HostStateTracker {
     private final Clock clock;
     private final Map<String, Told> hosts = new HashMap<>();
 
     private record Told(Host host, double sinceMs) { }
 
-    HostStates(Clock clock) {
+    HostStateTracker(Clock clock) {
         this.clock = clock;
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -19,22 +19,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import marlford.gateway.Brain;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Events;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Request;
-import marlford.gateway.Gateway.RequestClass;
+import marlford.gateway.DecisionEngine;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Events;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Request;
+import marlford.gateway.EngineApi.RequestClass;
 import marlford.gateway.console.Console;
-import marlford.gateway.console.Figures;
-import marlford.gateway.end.EndSchedule;
+import marlford.gateway.console.ServiceMetrics;
 import marlford.gateway.guard.AttemptGuard;
 import marlford.gateway.guard.Rule;
 import marlford.gateway.guard.RuleCounter;
-import marlford.gateway.start.Birth;
+import marlford.gateway.shutdown.ShutdownSchedule;
+import marlford.gateway.start.ProcessStartTime;
 import marlford.gateway.start.StartBudget;
 import marlford.gateway.start.StartBudget.Step;
 import marlford.gateway.upgrade.Predecessor;
@@ -66,29 +66,29 @@
 
     final NodeConfig config;
     final Clock clock;
-    final EndSchedule end;
+    final ShutdownSchedule end;
     final Transport transport;
     final NioEventLoopGroup group;
     final EventLoop loop;
-    final LoopLag lag;
-    final Figures figures;
+    final EventLoopLag lag;
+    final ServiceMetrics figures;
     private final Events module;
     final EventLog events;
     final RuleCounter rules = new RuleCounter();
-    private final Leavings leavings = new Leavings();
+    private final ClientDepartureCounters departures = new ClientDepartureCounters();
     private final ArrayDeque<Event> untold = new ArrayDeque<>();
     private final Map<String, OpenRequest> open = new HashMap<>();
     final ClientServer clients;
     private final HostClient hosts;
-    private final HostStates states;
+    private final HostStateTracker states;
     private final Discovery discovery;
     private final PeerLink peers;
     private Mail mail;
     private final CountDownLatch drained = new CountDownLatch(1);
     private boolean telling;
     private boolean serving; // before, what peers say is for the ears of a module that has not begun
-    private final Operators operators;
-    Extras extras = Extras.NONE; // set ahead of the start
+    private final AdminCommandHandler operators;
+    GatewayExtensions extras = GatewayExtensions.NONE; // set ahead of the start
     private Console console; // null where there is none
     private boolean draining;
     private boolean leaving; // that has come so far that clients no longer stay
@@ -99,7 +99,7 @@
     private volatile boolean unserved; // told to end before any client was served
 
     Node(NodeConfig config) {
-        this(config, Brain::new);
+        this(config, DecisionEngine::new);
     }
 
     /** With a module of the caller's making. */
@@ -116,32 +116,32 @@
         this.config = config;
         this.clock = clock;
         this.events = transport == Transport.MEMORY ? new EventLog(clock, null) : new EventLog(clock); // no trace of a warm-up
-        this.end = EndSchedule.of(config.settings().classes().stream().mapToDouble(RequestClass::deadlineMs).max()
+        this.end = ShutdownSchedule.of(config.settings().classes().stream().mapToDouble(RequestClass::deadlineMs).max()
                 .orElse(0));
         this.transport = transport;
         this.group = group;
         this.loop = group.next();
-        this.lag = new LoopLag(clock, loop);
+        this.lag = new EventLoopLag(clock, loop);
         this.module = maker.apply(this);
-        this.figures = new Figures(config.settings().classes().stream().map(RequestClass::name).toList());
+        this.figures = new ServiceMetrics(config.settings().classes().stream().map(RequestClass::name).toList());
         this.clients = new ClientServer(this);
         this.hosts = new HostClient(this);
-        this.states = new HostStates(clock);
+        this.states = new HostStateTracker(clock);
         this.discovery = new Discovery(this);
         this.peers = new PeerLink(this);
-        this.operators = new Operators(loop, this::quiesce, this::resume, () -> discovery.leaveOut(console.leftOut()));
+        this.operators = new AdminCommandHandler(loop, this::quiesce, this::resume, () -> discovery.leaveOut(console.leftOut()));
         this.mail = peers;
     }
 
     /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
     public static void main(String configFile) {
-        main(configFile, Extras.NONE);
+        main(configFile, GatewayExtensions.NONE);
     }
 
     /** The same, with what others add. */
-    public static void main(String configFile, Extras extras) {
-        PlainLog.install();
-        Reload reload = Reload.onHangup(configFile); // first of all: SIGHUP ends a process that does not take it
+    public static void main(String configFile, GatewayExtensions extras) {
+        StderrLogger.install();
+        ConfigurationReloader reload = ConfigurationReloader.onHangup(configFile); // first of all: SIGHUP ends a process that does not take it
         try {
             serve(reload, System.getenv("TMPDIR"), StartBudget.ofThisProcess(), true, extras);
         } catch (NodeConfig.BadConfig | IOException | InterruptedException e) {
@@ -150,9 +150,9 @@
         }
     }
 
-    static Node serve(Reload reload, String folder, StartBudget budget, boolean alone)
+    static Node serve(ConfigurationReloader reload, String folder, StartBudget budget, boolean alone)
             throws NodeConfig.BadConfig, IOException, InterruptedException {
-        return serve(reload, folder, budget, alone, Extras.NONE);
+        return serve(reload, folder, budget, alone, GatewayExtensions.NONE);
     }
 
     /**
@@ -162,19 +162,19 @@
      * @param alone whether this process is the node's, and ends with it
      * @param extras what others add
      */
-    private static Node serve(Reload reload, String folder, StartBudget budget, boolean alone,
-            Extras extras) throws NodeConfig.BadConfig, IOException, InterruptedException {
+    private static Node serve(ConfigurationReloader reload, String folder, StartBudget budget, boolean alone,
+            GatewayExtensions extras) throws NodeConfig.BadConfig, IOException, InterruptedException {
         NodeConfig config = reload.first();
-        Kept kept = Kept.in(folder, config.name(), config.listen());
-        Predecessor serves = kept == null ? null : Predecessor.find(kept.successor(), budget.limitMs(Step.HELLO));
-        if (kept != null && serves == null && !Transport.TCP.isFree(config.listen())) { // a process of before, or a stranger
-            Kept before = Kept.before(folder, config.name());
+        RuntimeDirectory runtimeDirectory = RuntimeDirectory.in(folder, config.name(), config.listen());
+        Predecessor serves = runtimeDirectory == null ? null : Predecessor.find(runtimeDirectory.successor(), budget.limitMs(Step.HELLO));
+        if (runtimeDirectory != null && serves == null && !Transport.TCP.isFree(config.listen())) { // a process of before, or a stranger
+            RuntimeDirectory before = RuntimeDirectory.before(folder, config.name());
             serves = Predecessor.find(before.successor(), budget.limitMs(Step.HELLO));
-            kept = serves == null ? kept : new Kept(before.leftOut(), kept.successor());
+            runtimeDirectory = serves == null ? runtimeDirectory : new RuntimeDirectory(before.leftOut(), runtimeDirectory.successor());
         }
         Node early = new Node(config);
         early.extras = extras;
-        early.openConsole(kept);
+        early.openConsole(runtimeDirectory);
         if (serves == null) {
             early.loop.execute(early.peers::start);
         }
@@ -188,7 +188,7 @@
             early.stop();
             node = new Node(newest);
             node.extras = extras;
-            node.openConsole(kept);
+            node.openConsole(runtimeDirectory);
             log("the configuration was replaced during the start");
         }
         reload.follow(newest, node::reload);
@@ -202,16 +202,16 @@
         }
         log("serves after " + budget.ageMs() + " ms of this process");
         extras.serving().accept(node.inside());
-        if (kept != null) {
+        if (runtimeDirectory != null) {
             // On a thread of its own: the exit runs the hook that ends what is open, and returns to nobody.
             Runnable end = () -> new Thread(() -> System.exit(0)).start();
-            new Successor(kept.successor(), node.place(end), Node::log).open();
+            new Successor(runtimeDirectory.successor(), node.place(end), Node::log).open();
         }
         return node;
     }
 
     void start() throws IOException {
-        Birth now = Birth.ofNow();
+        ProcessStartTime now = ProcessStartTime.ofNow();
         start(null, new StartBudget(now::ageMs));
     }
 
@@ -279,11 +279,11 @@
     /**
      * Operators may call from now on; a second call does nothing.
      *
-     * @param kept where what they say outlives the process; null for nowhere
+     * @param runtimeDirectory where what they say outlives the process; null for nowhere
      */
-    void openConsole(Kept kept) throws IOException {
+    void openConsole(RuntimeDirectory runtimeDirectory) throws IOException {
         if (console == null && config.console() != null) {
-            console = new Console(operators, figures, extras.pages(), kept == null ? null : kept.leftOut(), Node::log);
+            console = new Console(operators, figures, extras.pages(), runtimeDirectory == null ? null : runtimeDirectory.leftOut(), Node::log);
             listenForOperators();
         }
     }
@@ -333,7 +333,7 @@
             public boolean release() throws InterruptedException {
                 loop.submit(() -> {
                     peers.stop();
-                    tell((now, m) -> m.replaced(now));
+                    tell((now, m) -> m.onReplaced(now));
                 }).sync();
                 return loop.schedule(() -> quiesced, TURN_MS, TimeUnit.MILLISECONDS).sync().getNow();
             }
@@ -366,7 +366,7 @@
             return; // an end was asked for meanwhile
         }
         peers.start();
-        tell((now, m) -> m.restored(now));
+        tell((now, m) -> m.onRestored(now));
         if (replaced) {
             replaced = false;
             listenAgain();
@@ -394,16 +394,16 @@
 
     /** How many hosts are not trusted, or closed; on the event loop. */
     int avoided() {
-        return module.avoided(clock.now());
+        return module.avoidedHostCount(clock.now());
     }
 
     /** One line a second of what was done and how late the loop is: a fleet's logs can be added up by second. */
     private void account() {
         loop.schedule(this::account, ACCOUNT_MS, TimeUnit.MILLISECONDS);
         extras.usage().look();
-        String done = module.account(clock.now());
+        String done = module.takeActivityLine(clock.now());
         if (!done.isEmpty()) {
-            log("did " + done + " clients=" + clients.count() + " late=" + Math.round(lag.ms()) + leavings.take()
+            log("did " + done + " clients=" + clients.count() + " late=" + Math.round(lag.ms()) + departures.take()
                     + events.take() + rules.text());
         }
     }
@@ -425,10 +425,10 @@
             loop.schedule(this::account, ACCOUNT_MS, TimeUnit.MILLISECONDS);
         }
         lag.start();
-        tell((now, m) -> m.start(now, config.settings()));
+        tell((now, m) -> m.onStart(now, config.settings()));
         double since = peers.aloneSince();
         if (since < Double.POSITIVE_INFINITY) {
-            tell((now, m) -> m.aloneSince(now, since));
+            tell((now, m) -> m.onNoOtherSpenderSince(now, since));
         }
         if (console != null) {
             discovery.leaveOut(console.leftOut());
@@ -507,7 +507,7 @@
         client.holds(entry);
         double left = r.deadlineMs() - clock.now();
         entry.guard = loop.schedule(() -> deadline(r.id()), micros(left), TimeUnit.MICROSECONDS);
-        tell((now, m) -> m.request(now, r));
+        tell((now, m) -> m.onRequest(now, r));
     }
 
     private static long micros(double ms) {
@@ -569,8 +569,8 @@
         }
         close(r);
         r.leftAt = clock.now();
-        leavings.left(r.attempts.stream().anyMatch(a -> a.left));
-        tell((now, m) -> m.clientLeft(now, r.request.id()));
+        departures.left(r.attempts.stream().anyMatch(a -> a.left));
+        tell((now, m) -> m.onClientLeft(now, r.request.id()));
         giveUpUnsent(r);
         forgetIfOver(r);
     }
@@ -619,7 +619,7 @@
         r.guard.cancel(false);
         a.streamedAt = clock.now();
         a.stopTimer();
-        tell((now, m) -> m.streamStarted(now, r.request.id(), a.number));
+        tell((now, m) -> m.onStreamStarted(now, r.request.id(), a.number));
         for (Attempt other : List.copyOf(r.attempts)) {
             if (other != a && !other.ended) {
                 giveUp(other, Outcome.CANCELLED);
@@ -644,19 +644,19 @@
         }
         if (r.stream == a) {
             figures.closed();
-            figures.ended(r.request.requestClass(), outcome == Outcome.OK ? Figures.End.ANSWERED : Figures.End.ERRORED);
+            figures.ended(r.request.requestClass(), outcome == Outcome.OK ? ServiceMetrics.End.ANSWERED : ServiceMetrics.End.ERRORED);
         }
         if (outcome == Outcome.OK) {
             ClientConnection client = close(r);
             if (client != null) {
-                figures.ended(r.request.requestClass(), Figures.End.ANSWERED);
+                figures.ended(r.request.requestClass(), ServiceMetrics.End.ANSWERED);
                 client.serve(response);
             }
         }
         boolean closed = r.closed();
         double took = (a.streamedAt > 0 ? a.streamedAt : clock.now()) - a.sentAt;
         double[] report = response == null ? NO_REPORT : hosts.report(response);
-        tell((now, m) -> m.attemptEnded(now,
+        tell((now, m) -> m.onAttemptEnded(now,
                 new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, 0, 0, report)));
         forgetIfOver(r);
     }
@@ -674,7 +674,7 @@
     private void forgetIfOver(OpenRequest r) {
         if (r.closed() && r.out == 0 && open.remove(r.request.id(), r)) {
             r.guard.cancel(false);
-            LongRequest.free(r.message);
+            StreamedRequest.free(r.message);
         }
     }
 
@@ -683,13 +683,13 @@
         operators.listed(discovery.listed());
         List<Host> list = Discovery.hosts(entries);
         states.told(kind, list);
-        tell((now, m) -> m.hosts(now, kind, list));
+        tell((now, m) -> m.onHosts(now, kind, list));
         hosts.giveUpComingUp(entries);
     }
 
     void peerSaid(int peer, byte[] data) {
         if (serving) {
-            tell((now, m) -> m.peerSaid(now, peer, data));
+            tell((now, m) -> m.onPeerMessage(now, peer, data));
         }
     }
 
@@ -706,7 +706,7 @@
         Attempt a = new Attempt(this, r, host, now);
         r.attempts.add(a);
         r.out++;
-        Upload rest = LongRequest.restOf(r.message);
+        RequestBodyStream rest = StreamedRequest.restOf(r.message);
         boolean gone = rest != null && !rest.untouched(); // a part of its body went to a host, and no other has it
         if (gone || over || r.closed() || now >= r.request.deadlineMs()
                 || a.number >= config.settings().limits().maxAttempts() || breaksRule(a, now)) {
@@ -785,7 +785,7 @@
         ClientConnection client = r == null ? null : close(r);
         if (client != null) {
             boolean refused = status == HttpResponseStatus.TOO_MANY_REQUESTS;
-            figures.ended(r.request.requestClass(), refused ? Figures.End.DEFERRED : Figures.End.ERRORED);
+            figures.ended(r.request.requestClass(), refused ? ServiceMetrics.End.DEFERRED : ServiceMetrics.End.ERRORED);
             client.answer(status, retryAfterMs);
         }
         if (r != null) {
@@ -794,18 +794,18 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
-        loop.schedule(() -> tell((now, m) -> m.timer(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
+    public void startTimer(double delayMs, String token) {
+        loop.schedule(() -> tell((now, m) -> m.onTimer(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void probe(String host) {
-        hosts.probe(host, (outcome, took, report) -> tell((now, m) -> m.probed(now, host, outcome, took, report)));
+        hosts.probe(host, (outcome, took, report) -> tell((now, m) -> m.onProbeResult(now, host, outcome, took, report)));
     }
 
     /** This gateway as others that add to it see it. */
-    Inside inside() {
-        return new Inside() {
+    ServingGateway inside() {
+        return new ServingGateway() {
             @Override
             public boolean mayProbe() {
                 return config.settings().limits().probes();
@@ -823,7 +823,7 @@
 
             @Override
             public void evidence(String host, Outcome outcome, double tookMs, double ageMs) {
-                loop.execute(() -> tell((now, m) -> m.probed(now - ageMs, host, outcome, tookMs, new double[0])));
+                loop.execute(() -> tell((now, m) -> m.onProbeResult(now - ageMs, host, outcome, tookMs, new double[0])));
             }
         };
     }
@@ -832,8 +832,8 @@
     void leaves(Attempt a) {
         a.left = true;
         double now = clock.now();
-        leavings.sent(now - a.owner.leftAt);
-        if (now - a.owner.leftAt > Leavings.SOON_MS) {
+        departures.sent(now - a.owner.leftAt);
+        if (now - a.owner.leftAt > ClientDepartureCounters.SOON_MS) {
             rules.broken(Rule.SENT_FOR_LEFT_CLIENT);
         }
         double grace = config.settings().rules().drainGraceMs();
@@ -848,19 +848,19 @@
         }
     }
 
-    ListTurn lists() {
+    SharedListFetch lists() {
         return extras.lists();
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         mail.send(peer, data);
     }
 
     /** There is no counter on these sockets, so a call can't get through. */
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
-        tell((now, m) -> m.counted(now, counter, Outcome.CONNECT_FAILED, 0));
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
+        tell((now, m) -> m.onCounterResult(now, counter, Outcome.CONNECT_FAILED, 0));
     }
 
     /** Discovery is always watched. */
@@ -919,7 +919,7 @@
             awaitEmpty();
         }, micros(Math.max(end.acceptsMs() + POLL_MS, stay)), TimeUnit.MICROSECONDS);
         loop.schedule(this::endAll, micros(end.endsMs()), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> tell((now, m) -> m.leaving(now)), micros(end.saysMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> tell((now, m) -> m.onShutdown(now)), micros(end.saysMs()), TimeUnit.MICROSECONDS);
     }
 
     /** From here on each answer is its connection's last. */
--- a/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
+++ b/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.StringJoiner;
 import java.util.TreeMap;
-import marlford.gateway.Gateway.Settings;
+import marlford.gateway.EngineApi.Settings;
 import marlford.gateway.wire.Fields;
 import marlford.gateway.wire.SettingsReader;
 import marlford.gateway.wire.WireFault;
@@ -74,7 +74,7 @@
         flatten("", root.path("settings"), pairs);
         pairs.put("rng_seed", Long.toString(Long.parseUnsignedLong(text(root, "seed"), HEX)));
         Fields fields = new Fields(pairs);
-        Settings settings = SettingsCheck.checked(SettingsReader.read(fields));
+        Settings settings = SettingsValidator.checked(SettingsReader.read(fields));
         List<InetSocketAddress> peers = new ArrayList<>();
         for (JsonNode peer : root.path("peers")) {
             peers.add(address(peer.asText()));
@@ -93,7 +93,7 @@
     }
 
     private static double positive(String name, double value) {
-        SettingsCheck.hold(value > 0, name, value, "above 0");
+        SettingsValidator.hold(value > 0, name, value, "above 0");
         return value;
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/OpenRequest.java
+++ b/gateway/src/main/java/marlford/gateway/net/OpenRequest.java
@@ -4,7 +4,7 @@
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
-import marlford.gateway.Gateway.Request;
+import marlford.gateway.EngineApi.Request;
 
 /** A request in the table: its client, until answered or gone, and its attempts. */
 final class OpenRequest {
--- a/gateway/src/main/java/marlford/gateway/net/Upload.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestBodyStream.java
@@ -12,7 +12,7 @@
  * <p>Buffers: a part that is added is owned here until it is handed on or dropped. Bound: {@value #AHEAD_MAX} bytes and
  * one reading of the socket wait here; then {@link #full} asks for a pause.
  */
-final class Upload {
+final class RequestBodyStream {
     private static final int AHEAD_MAX = 64 * 1024; // bytes read and not yet handed on
 
     /** A host's connection that takes the body. */
@@ -42,7 +42,7 @@
      * @param length of the whole body in bytes, also what is kept of it; below 0 where the client does not say
      * @param steer runs where {@link #full} or {@link #over} may have changed
      */
-    Upload(long length, Runnable steer) {
+    RequestBodyStream(long length, Runnable steer) {
         this.length = length;
         this.steer = steer;
     }
--- a/gateway/src/main/java/marlford/gateway/net/RequestTerms.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestParser.java
@@ -8,17 +8,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import marlford.gateway.Gateway.Effect;
-import marlford.gateway.Gateway.Plan;
-import marlford.gateway.Gateway.Request;
-import marlford.gateway.Gateway.RequestClass;
-import marlford.gateway.Gateway.Settings;
+import marlford.gateway.EngineApi.Effect;
+import marlford.gateway.EngineApi.Plan;
+import marlford.gateway.EngineApi.Request;
+import marlford.gateway.EngineApi.RequestClass;
+import marlford.gateway.EngineApi.Settings;
 
 /**
  * What a request says of itself, held against the settings. All of it comes from a stranger, and the module reckons
  * with it: units, sets and times that cannot be would spoil the books of a customer who never sent them.
  */
-final class RequestTerms {
+final class RequestParser {
     static final AsciiString ID = AsciiString.cached("X-Trace-Id");
     static final AsciiString PLAN = AsciiString.cached("X-Plan");
     static final AsciiString CUSTOMER = AsciiString.cached("X-Customer");
@@ -42,7 +42,7 @@
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
 
-    RequestTerms(Settings settings) {
+    RequestParser(Settings settings) {
         this.settings = settings;
         settings.classes().forEach(c -> classes.put(c.name(), c));
         settings.plans().forEach(p -> plans.put(p.name(), p));
--- a/gateway/src/main/java/marlford/gateway/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -31,7 +31,7 @@
  * where a further request would begin is not known. It answers nothing itself, since answers have their order.
  */
 final class RequestReader extends ChannelInboundHandlerAdapter {
-    private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestTerms.SINGLE);
+    private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestParser.SINGLE);
     private static final double NONE = -1;
     private static final long LONGEST = 48 << 20; // bytes of a body
 
@@ -39,7 +39,7 @@
     record Unreadable(HttpResponseStatus status) { }
 
     /** The last byte of a long body was read. */
-    record BodyRead(Upload body) { }
+    record BodyRead(RequestBodyStream body) { }
 
     /** The client sends the body only once it is told that its head was read. */
     enum Asks { TO_GO_ON }
@@ -49,7 +49,7 @@
     private final Decoder decoder = new Decoder();
     private HttpRequest head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
-    private Upload rest; // of a body too long to be kept; null where it is put together here
+    private RequestBodyStream rest; // of a body too long to be kept; null where it is put together here
     private boolean asked; // the head that is here expects a word before its body
     private boolean over;
     private IntConsumer forgotten = bytes -> { };
@@ -217,17 +217,17 @@
             return;
         }
         if (rest == null && read > ClientServer.MAX_BODY) {
-            rest = new Upload(HttpUtil.getContentLength(head, -1L), steer);
+            rest = new RequestBodyStream(HttpUtil.getContentLength(head, -1L), steer);
             ByteBuf kept = body;
             body = Unpooled.EMPTY_BUFFER;
-            ctx.fireChannelRead(new LongRequest(head, kept, rest));
+            ctx.fireChannelRead(new StreamedRequest(head, kept, rest));
         }
         if (rest != null && !over) {
             if (!(content instanceof LastHttpContent)) {
                 rest.add(content.content().retain());
                 return;
             }
-            Upload ended = rest;
+            RequestBodyStream ended = rest;
             rest = null;
             nextFrom();
             ended.end(content.content().retain());
--- a/gateway/src/main/java/marlford/gateway/net/Kept.java
+++ b/gateway/src/main/java/marlford/gateway/net/RuntimeDirectory.java
@@ -13,21 +13,21 @@
  * @param leftOut holds the hosts that operators left out
  * @param successor socket at which the running process waits for the one that is to take its place
  */
-record Kept(Path leftOut, Path successor) {
+record RuntimeDirectory(Path leftOut, Path successor) {
     private static final int SOCKET_PATH_MAX = 100; // bytes; the system's own limit lies just above
 
     /** Null where the platform gives no folder, or gave one whose name is too long for a socket's. */
-    static Kept in(String folder, String name, InetSocketAddress listen) {
+    static RuntimeDirectory in(String folder, String name, InetSocketAddress listen) {
         return under(folder, hex(name.getBytes(StandardCharsets.UTF_8)) + '-' + hex(listen.getAddress().getAddress()) + '-'
                 + listen.getPort());
     }
 
     /** Where a process of a version before addresses counted has its place; it is asked only where the address is taken. */
-    static Kept before(String folder, String name) {
+    static RuntimeDirectory before(String folder, String name) {
         return under(folder, hex(name.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static Kept under(String folder, String own) {
+    private static RuntimeDirectory under(String folder, String own) {
         if (folder == null || folder.isEmpty()) {
             return null;
         }
@@ -36,7 +36,7 @@
             Node.log("no upgrades and no memory of hosts left out: the path is too long: " + successor);
             return null;
         }
-        return new Kept(Path.of(folder, "left-out-" + own), successor);
+        return new RuntimeDirectory(Path.of(folder, "left-out-" + own), successor);
     }
 
     private static String hex(byte[] bytes) {
--- a/gateway/src/main/java/marlford/gateway/net/Inside.java
+++ b/gateway/src/main/java/marlford/gateway/net/ServingGateway.java
@@ -2,10 +2,10 @@
 
 import java.util.Set;
 import java.util.function.Consumer;
-import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.EngineApi.Outcome;
 
 /** What a gateway that serves offers to whoever adds to it. From any thread; answers come on the event loop. */
-public interface Inside {
+public interface ServingGateway {
     /** Takes what came of a probe. */
     interface ProbeEnd {
         /** @param tookMs from its sending on, in milliseconds */
--- a/gateway/src/main/java/marlford/gateway/net/SettingsCheck.java
+++ b/gateway/src/main/java/marlford/gateway/net/SettingsValidator.java
@@ -2,20 +2,20 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import marlford.gateway.Gateway.Effect;
-import marlford.gateway.Gateway.Limits;
-import marlford.gateway.Gateway.Plan;
-import marlford.gateway.Gateway.RequestClass;
-import marlford.gateway.Gateway.Rules;
-import marlford.gateway.Gateway.Settings;
-import marlford.gateway.Gateway.Sharing;
+import marlford.gateway.EngineApi.Effect;
+import marlford.gateway.EngineApi.Limits;
+import marlford.gateway.EngineApi.Plan;
+import marlford.gateway.EngineApi.RequestClass;
+import marlford.gateway.EngineApi.Rules;
+import marlford.gateway.EngineApi.Settings;
+import marlford.gateway.EngineApi.Sharing;
 
 /**
  * Whether settings can be at all. What is out of range is named before a listener opens: a time below nothing or a rate
  * that is none would else show as requests that all fail, or as books that never fill.
  */
-final class SettingsCheck {
-    private SettingsCheck() { }
+final class SettingsValidator {
+    private SettingsValidator() { }
 
     /** The settings, or an IllegalArgumentException that names what is wrong with them. */
     static Settings checked(Settings s) {
--- a/gateway/src/main/java/marlford/gateway/net/ListTurn.java
+++ b/gateway/src/main/java/marlford/gateway/net/SharedListFetch.java
@@ -6,9 +6,9 @@
  * Whose turn it is to call an agent that was away, so that its return is not a call of every gateway for its whole list at
  * once. Called on the event loop; every call returns at once, and what it leads to may come on any thread.
  */
-public interface ListTurn {
+public interface SharedListFetch {
     /** Each gateway calls when it likes. */
-    ListTurn NONE = new ListTurn() {
+    SharedListFetch NONE = new SharedListFetch() {
         @Override
         public void due(String agent, Consumer<Told> next) {
             next.accept(null);
--- a/gateway/src/main/java/marlford/gateway/net/Rehearsal.java
+++ b/gateway/src/main/java/marlford/gateway/net/StartupRehearsal.java
@@ -22,7 +22,7 @@
  * One short life of a node that is its own host, peer and discovery, so that each part runs once. The build keeps
  * the classes that it loads in an archive, from which a restarted node starts in half the time.
  */
-public final class Rehearsal {
+public final class StartupRehearsal {
     private static final int ENOUGH = 64; // bytes that hold a status line
     private static final int PATIENCE_MS = 10_000;
     private static final String NAME = "rehearsal";
@@ -53,18 +53,18 @@
             {"version": 2, "full": true, "servers": [{"id": "self", "addr": "%s", "zone": "a", "state": "ready"}]}
             """;
 
-    private Rehearsal() { }
+    private StartupRehearsal() { }
 
     /** Returns when all has been gone through. */
     public static void run() throws IOException, InterruptedException {
-        PlainLog.install();
+        StderrLogger.install();
         InetSocketAddress at = free();
         InetSocketAddress console = free();
         String address = text(at);
         Path file = Files.writeString(Files.createTempFile("rehearsal", ".json"),
                 CONFIG.formatted(address, agent(LIST.formatted(address)), text(console)));
         Path folder = Files.createTempDirectory("rehearsal");
-        Reload reload = Reload.onHangup(file.toString());
+        ConfigurationReloader reload = ConfigurationReloader.onHangup(file.toString());
         Node node;
         try {
             node = Node.serve(reload, folder.toString(), StartBudget.ofThisProcess(), false);
@@ -79,7 +79,7 @@
             for (String call : CALLS) {
                 call(console, call);
             }
-            Path successor = Kept.in(folder.toString(), NAME, at).successor();
+            Path successor = RuntimeDirectory.in(folder.toString(), NAME, at).successor();
             Predecessor.find(successor, PATIENCE_MS).close(); // as a process that ends before it takes over
         } finally {
             node.stop(); // or a build would never end
--- a/gateway/src/main/java/marlford/gateway/net/PlainLog.java
+++ b/gateway/src/main/java/marlford/gateway/net/StderrLogger.java
@@ -11,7 +11,7 @@
  * tenth of its processor time, and its handler reads the time zones' file for its first line: where that line says that
  * no descriptor is left, this would end the event loop.
  */
-final class PlainLog extends AbstractInternalLogger {
+final class StderrLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
 
     /** Makes this netty's only log. */
@@ -19,12 +19,12 @@
         InternalLoggerFactory.setDefaultFactory(new InternalLoggerFactory() {
             @Override
             protected InternalLogger newInstance(String name) {
-                return new PlainLog(name);
+                return new StderrLogger(name);
             }
         });
     }
 
-    private PlainLog(String name) {
+    private StderrLogger(String name) {
         super(name);
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/StrictHeaders.java
+++ b/gateway/src/main/java/marlford/gateway/net/StrictHeaders.java
@@ -74,7 +74,7 @@
 
     /** Digits alone, and no nought ahead of them: not all receivers read the rest alike. */
     private static boolean isLength(String text) {
-        return !text.isEmpty() && text.length() <= LENGTH_DIGITS && RequestTerms.isWithin(text, '0', '9')
+        return !text.isEmpty() && text.length() <= LENGTH_DIGITS && RequestParser.isWithin(text, '0', '9')
                 && (text.length() == 1 || text.charAt(0) != '0');
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/Usage.java
+++ b/gateway/src/main/java/marlford/gateway/net/UsageRecorder.java
@@ -4,9 +4,9 @@
  * Takes note of what was let in. Called on the event loop, once for each request, before its first byte leaves for a host;
  * it returns at once.
  */
-public interface Usage {
+public interface UsageRecorder {
     /** Keeps no note. */
-    Usage NONE = new Usage() {
+    UsageRecorder NONE = new UsageRecorder() {
         @Override
         public void admitted(long customer, double units) { }
 
--- a/gateway/src/main/java/marlford/gateway/net/WarmUp.java
+++ b/gateway/src/main/java/marlford/gateway/net/WarmUp.java
@@ -26,16 +26,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import marlford.gateway.Brain;
-import marlford.gateway.Gateway.Effect;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Plan;
-import marlford.gateway.Gateway.RequestClass;
-import marlford.gateway.Gateway.Settings;
-import marlford.gateway.Gateway.Sharing;
-import marlford.gateway.quota.Exchange;
+import marlford.gateway.DecisionEngine;
+import marlford.gateway.EngineApi.Effect;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Plan;
+import marlford.gateway.EngineApi.RequestClass;
+import marlford.gateway.EngineApi.Settings;
+import marlford.gateway.EngineApi.Sharing;
+import marlford.gateway.quota.QuotaCoordinator;
 
 /**
  * Before a node takes clients, two of its kind serve made-up ones in the process's memory, so that the code which
@@ -165,7 +165,7 @@
             }).bind(TRANSPORT.at(at)).sync();
         }
         for (int me = 0; me < 2; me++) {
-            nodes.add(new Node(of(me), Brain::new, TRANSPORT, group));
+            nodes.add(new Node(of(me), DecisionEngine::new, TRANSPORT, group));
         }
         for (Node node : nodes) {
             int me = node.config.settings().me();
@@ -185,7 +185,7 @@
         Settings s = config.settings();
         Sharing sharing = s.sharing();
         // Hundreds share quotas by code of their own: these two are the first of as many.
-        boolean hundreds = Exchange.isFor(s.gateways(), sharing.mailPerSecond());
+        boolean hundreds = QuotaCoordinator.isFor(s.gateways(), sharing.mailPerSecond());
         Sharing quick = new Sharing(sharing.counter(), sharing.counterPrice(), sharing.meterPeriodMs(),
                 sharing.postPaid(), sharing.maxUnits(), hundreds ? sharing.mailPerSecond() : MAIL_PER_SECOND,
                 sharing.peerPrice(), sharing.probePrice(), sharing.zonePrice());
@@ -270,12 +270,12 @@
         int customer = n % CUSTOMERS;
         List<Plan> plans = config.settings().plans();
         String head = (safe ? "GET /" : "POST /") + cls.name() + "/warm HTTP/1.1\r\nHost: warm\r\n"
-                + RequestTerms.ID + ": " + n + "\r\n"
-                + RequestTerms.PLAN + ": " + plans.get(customer % plans.size()).name() + "\r\n"
-                + RequestTerms.CUSTOMER + ": " + HEX.toHexDigits((long) customer) + "\r\n"
-                + RequestTerms.EXPIRES + ": " + (int) cls.deadlineMs() + "\r\n"
-                + RequestTerms.QUOTA + ": units=1,spread=" + (1 + customer % 2) + ",first=0\r\n"
-                + RequestTerms.KEY + ": " + n + "\r\nContent-Length: " + (safe ? 0 : BODY) + "\r\n\r\n";
+                + RequestParser.ID + ": " + n + "\r\n"
+                + RequestParser.PLAN + ": " + plans.get(customer % plans.size()).name() + "\r\n"
+                + RequestParser.CUSTOMER + ": " + HEX.toHexDigits((long) customer) + "\r\n"
+                + RequestParser.EXPIRES + ": " + (int) cls.deadlineMs() + "\r\n"
+                + RequestParser.QUOTA + ": units=1,spread=" + (1 + customer % 2) + ",first=0\r\n"
+                + RequestParser.KEY + ": " + n + "\r\nContent-Length: " + (safe ? 0 : BODY) + "\r\n\r\n";
         return message(head, safe ? 0 : BODY);
     }
 
--- a/gateway/src/main/java/marlford/gateway/quota/CeilingShare.java
+++ b/gateway/src/main/java/marlford/gateway/quota/CeilingShare.java
@@ -44,7 +44,7 @@
      * @param share of the ceiling, 0 to 1
      * @param since no earlier life of this gateway gave anything out since then
      */
-    CeilingShare(Terms terms, double share, double since) {
+    CeilingShare(QuotaTerms terms, double share, double since) {
         rate = terms.ceilingRate() * share;
         hold = terms.ceilingBurst() * share;
         filledAt = since + LENT_MS; // what the earlier life gave may be on its way until then
@@ -93,7 +93,7 @@
      * @param life of the holder
      * @return units granted beside those held
      */
-    double lease(double now, int peer, int life, Talk.LeaseRequest request, Fill fill) {
+    double lease(double now, int peer, int life, QuotaMessage.LeaseRequest request, Fill fill) {
         LeaseLedger.Settled settled = leases.settle(now, peer, life, request);
         if (settled.repeat()) {
             return settled.granted();
--- a/gateway/src/main/java/marlford/gateway/quota/CustomerView.java
+++ b/gateway/src/main/java/marlford/gateway/quota/CustomerView.java
@@ -7,9 +7,9 @@
 final class CustomerView {
     private static final double MEAN = 0.5; // of the time in which a store fills: how long its units are missing
 
-    final Talk.Named named;
-    final Terms terms;
-    final Keepers keepers;
+    final QuotaMessage.Named named;
+    final QuotaTerms terms;
+    final LedgerPlacement keepers;
     LeaseHolder quotaLease;
     LeaseHolder ceilingLease;
     int lender = -1; // that last granted units of the ceiling
@@ -23,7 +23,7 @@
     double unreported; // units let in or refused here without a keeper's word, and not told yet
     double unreportedSince;
 
-    CustomerView(Talk.Named named, Terms terms, Keepers keepers) {
+    CustomerView(QuotaMessage.Named named, QuotaTerms terms, LedgerPlacement keepers) {
         this.named = named;
         this.terms = terms;
         this.keepers = keepers;
@@ -33,8 +33,8 @@
 
     /** Gives up what is leased, without a word. */
     void dropLeases() {
-        quotaLease = new LeaseHolder(Talk.Of.STORE);
-        ceilingLease = new LeaseHolder(Talk.Of.CEILING);
+        quotaLease = new LeaseHolder(QuotaMessage.Of.STORE);
+        ceilingLease = new LeaseHolder(QuotaMessage.Of.CEILING);
     }
 
     boolean capped() {
--- a/gateway/src/main/java/marlford/gateway/quota/Guess.java
+++ b/gateway/src/main/java/marlford/gateway/quota/DegradedModeEstimator.java
@@ -5,15 +5,15 @@
  * demand and rate would have it; while it has room all goes in, and from then on each request with the chance at which all
  * gateways together, each by itself, let in as much as the store fills by. Pure and stateless.
  */
-final class Guess {
-    private Guess() { }
+final class DegradedModeEstimator {
+    private DegradedModeEstimator() { }
 
     /**
      * @param level units in the store by the last word, which is {@code ageMs} old
      * @param demand units a second asked for everywhere, by that word
      * @return 0 to 1
      */
-    static double chance(Terms terms, double level, double demand, double ageMs, double units) {
+    static double chance(QuotaTerms terms, double level, double demand, double ageMs, double units) {
         if (terms.rate() <= 0) {
             return 1;
         }
--- a/gateway/src/main/java/marlford/gateway/quota/LeaseHolder.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LeaseHolder.java
@@ -27,7 +27,7 @@
 
     private record Spent(double at, double units) { }
 
-    private final Talk.Of of;
+    private final QuotaMessage.Of of;
     private final double termMs;
     private final ArrayDeque<Spent> spent = new ArrayDeque<>(0); // ceiling units that may not have reached a host
     private int owner = -1;
@@ -39,19 +39,19 @@
     private double tries; // a second
     private double largest; // of the requests lately
     private double demandAt;
-    private Talk.LeaseRequest open;
+    private QuotaMessage.LeaseRequest open;
     private int openOwner;
     private double openAt;
     private double sentAt;
     private int sends;
     private double pausedTill = Double.NEGATIVE_INFINITY;
 
-    LeaseHolder(Talk.Of of) {
+    LeaseHolder(QuotaMessage.Of of) {
         this(of, LeaseLedger.USE_MS);
     }
 
     /** @param termMs how long a lease may be spent after its request was first sent; for tests */
-    LeaseHolder(Talk.Of of, double termMs) {
+    LeaseHolder(QuotaMessage.Of of, double termMs) {
         this.of = of;
         this.termMs = termMs;
     }
@@ -78,7 +78,7 @@
         }
         units -= wanted;
         spentSince += wanted;
-        if (of == Talk.Of.CEILING) {
+        if (of == QuotaMessage.Of.CEILING) {
             spent.addLast(new Spent(now, wanted));
         }
         return true;
@@ -144,7 +144,7 @@
      *
      * @param serial of a new request
      */
-    Talk.LeaseRequest request(double now, int serial, int newOwner, Talk.Named named) {
+    QuotaMessage.LeaseRequest request(double now, int serial, int newOwner, QuotaMessage.Named named) {
         if (open != null && sends >= SENDS) {
             open = null;
             pausedTill = now + PAUSE_MS;
@@ -153,7 +153,7 @@
         if (open == null || openOwner != newOwner) {
             boolean same = owner == newOwner;
             double wanted = Math.max(LEAST_UNITS, aim() - (same ? left(now) : 0));
-            open = new Talk.LeaseRequest(serial, named, of, wanted, held(now, same), 0);
+            open = new QuotaMessage.LeaseRequest(serial, named, of, wanted, held(now, same), 0);
             openOwner = newOwner;
             openAt = now;
             sends = 0;
@@ -174,14 +174,14 @@
     }
 
     /** The end of the lease, to be told to its owner; null where there is nothing to end. */
-    Talk.LeaseRequest end(double now, int serial, Talk.Named named) {
+    QuotaMessage.LeaseRequest end(double now, int serial, QuotaMessage.Named named) {
         double rest = left(now);
         units = 0;
         spentSince = 0;
         open = null;
         boolean some = now < until;
         until = Double.NEGATIVE_INFINITY;
-        return some ? new Talk.LeaseRequest(serial, named, of, 0, held(now, false), rest) : null;
+        return some ? new QuotaMessage.LeaseRequest(serial, named, of, 0, held(now, false), rest) : null;
     }
 
     int owner() {
--- a/gateway/src/main/java/marlford/gateway/quota/LeaseLedger.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LeaseLedger.java
@@ -81,7 +81,7 @@
      *
      * @param life of the holder
      */
-    Settled settle(double now, int peer, int life, Talk.LeaseRequest request) {
+    Settled settle(double now, int peer, int life, QuotaMessage.LeaseRequest request) {
         outstanding(now);
         Entry e = entry(peer, life);
         if (e == null) {
@@ -109,7 +109,7 @@
      * @param most units that may be outstanding
      * @return the units, which have left the owner's store; 0 where it is too little, or there is no room for a holder
      */
-    double grant(double now, int peer, int life, Talk.LeaseRequest request, double available, double most) {
+    double grant(double now, int peer, int life, QuotaMessage.LeaseRequest request, double available, double most) {
         double fair = Math.min(available * FAIR, most - outstanding(now));
         Entry e = entry(peer, life);
         if (e == null && entries.size() >= ENTRIES_MAX) {
--- a/gateway/src/main/java/marlford/gateway/quota/LeaseRenewals.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LeaseRenewals.java
@@ -25,7 +25,7 @@
     /** What the renewals need of their gateway. */
     interface Side {
         /** Who is to be asked for a lease of these units; -1 for nobody. */
-        int owner(double now, CustomerView customer, Talk.Of of);
+        int owner(double now, CustomerView customer, QuotaMessage.Of of);
 
         /** A serial that was not used before. */
         int serial();
@@ -33,7 +33,7 @@
         /** Whether one more message may leave; it counts as left. */
         boolean mayAsk(double now);
 
-        void say(int peer, Talk.LeaseRequest request);
+        void say(int peer, QuotaMessage.LeaseRequest request);
     }
 
     private record Due(CustomerView customer, LeaseHolder lease, boolean urgent) { }
@@ -66,8 +66,8 @@
         Map<Integer, List<Due>> due = new TreeMap<>();
         for (Iterator<CustomerView> it = active.iterator(); it.hasNext();) {
             CustomerView c = it.next();
-            boolean quota = collect(now, side, c, c.quotaLease, Talk.Of.STORE, due);
-            boolean ceiling = collect(now, side, c, c.ceilingLease, Talk.Of.CEILING, due);
+            boolean quota = collect(now, side, c, c.quotaLease, QuotaMessage.Of.STORE, due);
+            boolean ceiling = collect(now, side, c, c.ceilingLease, QuotaMessage.Of.CEILING, due);
             if (!quota && !ceiling) {
                 it.remove();
             }
@@ -86,7 +86,7 @@
     }
 
     /** False where there is nothing to lease for, and nothing leased. */
-    private boolean collect(double now, Side side, CustomerView c, LeaseHolder lease, Talk.Of of,
+    private boolean collect(double now, Side side, CustomerView c, LeaseHolder lease, QuotaMessage.Of of,
             Map<Integer, List<Due>> due) {
         if (!lease.active(now)) {
             if (!lease.idle(now)) {
@@ -106,7 +106,7 @@
 
     private static void end(double now, Side side, CustomerView c, LeaseHolder lease) {
         int owner = lease.owner();
-        Talk.LeaseRequest end = lease.end(now, side.serial(), c.named);
+        QuotaMessage.LeaseRequest end = lease.end(now, side.serial(), c.named);
         if (end != null) {
             side.say(owner, end);
         }
@@ -116,7 +116,7 @@
         List<Due> first = new ArrayList<>(leases.stream().filter(Due::urgent).toList());
         leases.stream().filter(d -> !d.urgent()).limit(Math.max(0, BATCH - first.size())).forEach(first::add);
         for (Due d : first) {
-            Talk.LeaseRequest request = d.lease().request(now, side.serial(), owner, d.customer().named);
+            QuotaMessage.LeaseRequest request = d.lease().request(now, side.serial(), owner, d.customer().named);
             if (request != null) {
                 open.put(request.serial(), new Open(d.customer(), d.lease()));
                 side.say(owner, request);
@@ -128,7 +128,7 @@
     }
 
     /** A grant; gives the customer whose quota it tells of, null where there is none. */
-    CustomerView granted(double now, int from, int life, Talk.LeaseGrant grant) {
+    CustomerView granted(double now, int from, int life, QuotaMessage.LeaseGrant grant) {
         Open o = open.remove(grant.serial());
         if (o == null) {
             return null;
--- a/gateway/src/main/java/marlford/gateway/quota/Keepers.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LedgerPlacement.java
@@ -20,7 +20,7 @@
  * @param books at least one, at most {@link #MOST}, all different, the first in charge
  * @param shares those with a share of the ceiling, all different; none where there is no ceiling
  */
-record Keepers(int[] books, int[] shares) {
+record LedgerPlacement(int[] books, int[] shares) {
     /** Gateways that may keep a book, the first in charge and its stand-ins. */
     static final int MOST = 3;
     private static final int[] APART = {3, 4, 6}; // parts of the tier from a keeper to its stand-ins, on either side
@@ -29,7 +29,7 @@
      * @param gateways of the tier, at least as many as the set has
      * @param leastHold units that each share of the ceiling has room for, above 0
      */
-    static Keepers of(Talk.Named named, int gateways, Terms terms, double leastHold) {
+    static LedgerPlacement of(QuotaMessage.Named named, int gateways, QuotaTerms terms, double leastHold) {
         int first = 0; // place in the set
         long best = 0;
         for (int i = 0; i < named.spread(); i++) {
@@ -45,12 +45,12 @@
         int count = terms.ceilingRate() > 0
                 ? (int) Math.max(1, Math.min(named.spread(), terms.ceilingBurst() / leastHold)) : 0;
         int from = first;
-        return new Keepers(books.stream().mapToInt(Integer::intValue).toArray(), IntStream.range(0, count)
+        return new LedgerPlacement(books.stream().mapToInt(Integer::intValue).toArray(), IntStream.range(0, count)
                 .map(i -> (from + i * named.spread() / count) % named.spread())
                 .map(i -> Math.floorMod(named.first() + i, gateways)).toArray());
     }
 
-    private static void standIns(Talk.Named named, int gateways, List<Integer> books) {
+    private static void standIns(QuotaMessage.Named named, int gateways, List<Integer> books) {
         int first = books.get(0);
         int[] near = IntStream.rangeClosed(1, MOST).flatMap(d -> IntStream.of(first + d, first - d))
                 .map(g -> Math.floorMod(g, gateways)).toArray(); // of a set too small for the distances
--- a/gateway/src/main/java/marlford/gateway/quota/LenderQueue.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LenderQueue.java
@@ -20,23 +20,23 @@
     private static final int BATCH = 15; // questions that fit one message, beside another item
 
     /** Questions to ask of one gateway. */
-    record Batch(int peer, List<Question> questions) { }
+    record Batch(int peer, List<PendingAdmission> questions) { }
 
-    private final Set<Question> waiting = new LinkedHashSet<>();
+    private final Set<PendingAdmission> waiting = new LinkedHashSet<>();
 
     boolean isEmpty() {
         return waiting.isEmpty();
     }
 
     /** False where there is no room. */
-    boolean add(Question question) {
+    boolean add(PendingAdmission question) {
         return waiting.size() < MOST && waiting.add(question);
     }
 
     /** Takes that request's question out; null where it does not wait here. */
-    Question remove(String id) {
-        for (Iterator<Question> it = waiting.iterator(); it.hasNext();) {
-            Question q = it.next();
+    PendingAdmission remove(String id) {
+        for (Iterator<PendingAdmission> it = waiting.iterator(); it.hasNext();) {
+            PendingAdmission q = it.next();
             if (q.id.equals(id)) {
                 it.remove();
                 return q;
@@ -46,8 +46,8 @@
     }
 
     /** Takes out those that have waited as long as they may. */
-    List<Question> expired(double now, double answerMs) {
-        List<Question> due = waiting.stream().filter(q -> q.leavesBy(answerMs) <= now).toList();
+    List<PendingAdmission> expired(double now, double answerMs) {
+        List<PendingAdmission> due = waiting.stream().filter(q -> q.leavesBy(answerMs) <= now).toList();
         due.forEach(waiting::remove);
         return due;
     }
@@ -58,9 +58,9 @@
      * @param usable whether a question may be asked of that gateway
      * @return null where there are none
      */
-    Batch next(BiPredicate<Question, Integer> usable) {
-        Map<Integer, List<Question>> byPeer = new TreeMap<>();
-        for (Question q : waiting) {
+    Batch next(BiPredicate<PendingAdmission, Integer> usable) {
+        Map<Integer, List<PendingAdmission>> byPeer = new TreeMap<>();
+        for (PendingAdmission q : waiting) {
             for (int peer : q.customer.keepers.shares()) {
                 if (usable.test(q, peer)) {
                     byPeer.computeIfAbsent(peer, p -> new ArrayList<>()).add(q);
@@ -68,7 +68,7 @@
             }
         }
         Batch best = null;
-        for (Map.Entry<Integer, List<Question>> e : byPeer.entrySet()) {
+        for (Map.Entry<Integer, List<PendingAdmission>> e : byPeer.entrySet()) {
             if (best == null || e.getValue().size() > best.questions.size()) {
                 best = new Batch(e.getKey(), e.getValue());
             }
@@ -76,7 +76,7 @@
         if (best == null) {
             return null;
         }
-        List<Question> first = best.questions.subList(0, Math.min(BATCH, best.questions.size()));
+        List<PendingAdmission> first = best.questions.subList(0, Math.min(BATCH, best.questions.size()));
         waiting.removeAll(Set.copyOf(first));
         return new Batch(best.peer, first);
     }
--- a/gateway/src/main/java/marlford/gateway/quota/PeerLife.java
+++ b/gateway/src/main/java/marlford/gateway/quota/PeerIncarnation.java
@@ -6,7 +6,7 @@
  * believed at once. Wall clocks may be wrong, so any other one is believed when it has been heard for {@value #CONFIRM_MS} ms in
  * which the present life was silent; a stray message alone changes nothing.
  */
-public final class PeerLife {
+public final class PeerIncarnation {
     static final double CONFIRM_MS = 1000;
     private static final double CLOCKS_APART_MS = 60_000; // beyond it a number is in the future
 
--- a/gateway/src/main/java/marlford/gateway/quota/Question.java
+++ b/gateway/src/main/java/marlford/gateway/quota/PendingAdmission.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** One request that waits for units: of its customer's quota, then of the ceiling, each of one gateway at a time. */
-final class Question {
+final class PendingAdmission {
     final String id;
     final CustomerView customer;
     final double units;
@@ -14,15 +14,15 @@
     int sends;
     double askedAt;
     double answerBy;
-    Talk.Of of = Talk.Of.BOTH;
-    Exchange.Grant quota; // the store's units, while the ceiling's are looked for
+    QuotaMessage.Of of = QuotaMessage.Of.BOTH;
+    QuotaCoordinator.Grant quota; // the store's units, while the ceiling's are looked for
     boolean guessed; // in place of them: let in without a keeper's word
     int peer; // that was asked last
     final Set<Integer> lenders = new HashSet<>(); // that had none
     private double queuedUntil = Double.POSITIVE_INFINITY; // set as it first waits for a message to leave
 
     /** @param lastMs when it must be decided at the latest */
-    Question(String id, CustomerView customer, double units, double lastMs) {
+    PendingAdmission(String id, CustomerView customer, double units, double lastMs) {
         this.id = id;
         this.customer = customer;
         this.units = units;
--- a/gateway/src/main/java/marlford/gateway/quota/Exchange.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
@@ -24,7 +24,7 @@
  * <p><b>Loss.</b> A question not answered in {@value #ANSWER_MS} ms is sent again with its serial, for which a keeper keeps
  * its verdict; the third miss turns to the stand-in, to which the keeper tells its books every {@value #SYNC_MS} ms. Who
  * missed two is passed over until it is heard of, and is asked for a sign of life now and then. Where nobody is left to
- * ask, {@link Guess} decides. Ceiling units are only ever given by a {@link CeilingShare}.
+ * ask, {@link DegradedModeEstimator} decides. Ceiling units are only ever given by a {@link CeilingShare}.
  *
  * <p>Beside its answers a keeper tells of customers that ask for more than they may, a few at a time, since a message costs
  * its receiver the same whatever it holds: in a cut most gateways have never asked for most customers.
@@ -33,9 +33,9 @@
  * that were kept for it.
  *
  * <p>Bounds: {@link Config#most} customers asked about and as many books; {@value #OPEN_MAX} open questions, beyond which
- * the guess decides at once; {@value Verdicts#MOST} verdicts kept for each peer. Pure, not thread-safe.
+ * the guess decides at once; {@value ReplyCache#MOST} verdicts kept for each peer. Pure, not thread-safe.
  */
-public final class Exchange {
+public final class QuotaCoordinator {
     /** How long an answer may take before its question is sent again, in milliseconds: three times the way there and back. */
     public static final double ANSWER_MS = 50;
     private static final double QUEUED_MS = 6 * ANSWER_MS; // what waits longer for a message to leave is refused then
@@ -80,7 +80,7 @@
      * @param maxUnits of one request
      * @param most customers known here, and as many books
      */
-    public record Config(int me, int gateways, double mailPerSecond, double maxUnits, int most, List<Terms> plans) { }
+    public record Config(int me, int gateways, double mailPerSecond, double maxUnits, int most, List<QuotaTerms> plans) { }
 
     /** Why a request was let in or not. */
     public enum Why { GRANTED, STORE, CEILING, GUESSED }
@@ -114,8 +114,8 @@
     }
 
     private static final class Peer {
-        final Verdicts verdicts = new Verdicts();
-        final PeerLife life = new PeerLife();
+        final ReplyCache verdicts = new ReplyCache();
+        final PeerIncarnation life = new PeerIncarnation();
         boolean leases; // its version understands requests for leases
         int syncCount;
         boolean synced;
@@ -127,23 +127,23 @@
         double knockedAt = Double.NEGATIVE_INFINITY;
     }
 
-    private record Heard(double at, Talk.Hint hint) { }
+    private record Heard(double at, QuotaMessage.Hint hint) { }
 
     private final Config config;
     private final Link link;
     private final Random random;
     private final Peer[] peers;
     private final Map<Long, CustomerView> customers = new HashMap<>();
-    private final Map<Long, Book> books = new LinkedHashMap<>();
-    private final Map<Integer, Question> open = new LinkedHashMap<>();
+    private final Map<Long, QuotaLedger> books = new LinkedHashMap<>();
+    private final Map<Integer, PendingAdmission> open = new LinkedHashMap<>();
     private final LinkedHashSet<Integer> ended = new LinkedHashSet<>(); // serials that nobody waits for
     private final LinkedHashMap<Long, Heard> hints = new LinkedHashMap<>();
     private final LeaseRenewals renewals;
     private final UsageReports reports = new UsageReports();
     private final LenderQueue queue = new LenderQueue();
-    private final List<Book> pressed = new ArrayList<>(); // of those kept here, as of the last word to stand-ins
+    private final List<QuotaLedger> pressed = new ArrayList<>(); // of those kept here, as of the last word to stand-ins
     private int hinted;
-    private final Map<Integer, List<Talk.Item>> due = new TreeMap<>();
+    private final Map<Integer, List<QuotaMessage.Item>> due = new TreeMap<>();
     private final double perMs;
     private double credit;
     private double creditAt;
@@ -164,7 +164,7 @@
 
     private final LeaseRenewals.Side renewing = new LeaseRenewals.Side() {
         @Override
-        public int owner(double now, CustomerView k, Talk.Of of) {
+        public int owner(double now, CustomerView k, QuotaMessage.Of of) {
             return leaseOwner(now, k, of);
         }
 
@@ -179,8 +179,8 @@
         }
 
         @Override
-        public void say(int peer, Talk.LeaseRequest request) {
-            Exchange.this.say(peer, request);
+        public void say(int peer, QuotaMessage.LeaseRequest request) {
+            QuotaCoordinator.this.say(peer, request);
         }
     };
 
@@ -207,7 +207,7 @@
     }
 
     /** @param life of this gateway; later ones are greater, by difference */
-    public Exchange(double now, Config config, int life, Random random, Link link) {
+    public QuotaCoordinator(double now, Config config, int life, Random random, Link link) {
         this.config = config;
         this.link = link;
         this.random = random;
@@ -264,13 +264,13 @@
      *
      * @param lastMs when it must be decided at the latest
      */
-    public void want(double now, String id, Talk.Named named, double units, double lastMs) {
+    public void want(double now, String id, QuotaMessage.Named named, double units, double lastMs) {
         CustomerView k = known(now, named);
         if (k == null) {
             link.decided(now, id, new Decision(false, Why.GUESSED, 0, 0, null));
             return;
         }
-        Question q = new Question(id, k, units, lastMs);
+        PendingAdmission q = new PendingAdmission(id, k, units, lastMs);
         if (k.terms.rate() <= 0) {
             if (k.capped()) {
                 lender(now, q);
@@ -296,13 +296,13 @@
 
     /** Nobody waits for the answer any more. */
     public void gone(String id) {
-        Question waiting = queue.remove(id);
+        PendingAdmission waiting = queue.remove(id);
         if (waiting != null) {
             back(waiting.quota);
             return;
         }
-        for (Iterator<Question> it = open.values().iterator(); it.hasNext();) {
-            Question q = it.next();
+        for (Iterator<PendingAdmission> it = open.values().iterator(); it.hasNext();) {
+            PendingAdmission q = it.next();
             if (q.id.equals(id)) {
                 it.remove();
                 end(q);
@@ -325,16 +325,16 @@
             return;
         }
         if (grant.keeper() != config.me()) {
-            say(grant.keeper(), new Talk.Back(grant.serial()));
+            say(grant.keeper(), new QuotaMessage.Back(grant.serial()));
             return;
         }
-        Book b = books.get(grant.customer());
+        QuotaLedger b = books.get(grant.customer());
         if (b != null) {
             b.back(grant.units());
         }
     }
 
-    private CustomerView known(double now, Talk.Named named) {
+    private CustomerView known(double now, QuotaMessage.Named named) {
         CustomerView k = customers.get(named.customer());
         if (k == null && customers.size() < config.most() && named.plan() < config.plans().size()) {
             k = new CustomerView(named, config.plans().get(named.plan()), keepers(named));
@@ -350,8 +350,8 @@
         return k;
     }
 
-    private Keepers keepers(Talk.Named named) {
-        return Keepers.of(named, peers.length, config.plans().get(named.plan()), ROOM * config.maxUnits());
+    private LedgerPlacement keepers(QuotaMessage.Named named) {
+        return LedgerPlacement.of(named, peers.length, config.plans().get(named.plan()), ROOM * config.maxUnits());
     }
 
     private boolean there(double now, int gateway) {
@@ -371,7 +371,7 @@
         if (now - p.knockedAt >= everyMs && knocks >= 1) {
             knocks--;
             p.knockedAt = now;
-            say(gateway, new Talk.Presence(Talk.State.ASKS));
+            say(gateway, new QuotaMessage.Presence(QuotaMessage.State.ASKS));
         }
     }
 
@@ -392,7 +392,7 @@
     }
 
     /** Turns to the next keeper of the book that is there, this gateway perhaps. */
-    private void next(double now, Question q) {
+    private void next(double now, PendingAdmission q) {
         CustomerView k = q.customer;
         int[] books = k.keepers.books();
         while (++q.place < books.length) {
@@ -413,7 +413,7 @@
                 guess(now, q, true);
                 return;
             }
-            q.of = ownCeiling(now, k) >= q.units ? Talk.Of.STORE : Talk.Of.BOTH;
+            q.of = ownCeiling(now, k) >= q.units ? QuotaMessage.Of.STORE : QuotaMessage.Of.BOTH;
             if (!ask(now, q)) {
                 guess(now, q, true);
             }
@@ -423,10 +423,10 @@
     }
 
     /** Turns to who may have units of the ceiling: this gateway, its lease, or any other with a share, in an order of chance. */
-    private void lender(double now, Question q) {
+    private void lender(double now, PendingAdmission q) {
         CustomerView k = q.customer;
-        boolean first = q.of != Talk.Of.CEILING;
-        q.of = Talk.Of.CEILING;
+        boolean first = q.of != QuotaMessage.Of.CEILING;
+        q.of = QuotaMessage.Of.CEILING;
         if (q.lenders.add(config.me()) && ownCeiling(now, k) >= q.units) {
             judgeHere(now, q);
             return;
@@ -454,11 +454,11 @@
         refuse(now, q, Why.CEILING);
     }
 
-    private boolean anyLender(double now, Question q) {
+    private boolean anyLender(double now, PendingAdmission q) {
         return IntStream.of(q.customer.keepers.shares()).anyMatch(peer -> mayLend(now, q, peer));
     }
 
-    private boolean askLender(double now, Question q) {
+    private boolean askLender(double now, PendingAdmission q) {
         int[] shares = q.customer.keepers.shares();
         int from = shares.length == 0 ? 0 : random.nextInt(shares.length);
         for (int i = 0; i < shares.length && q.lenders.size() <= LENDERS; i++) {
@@ -472,7 +472,7 @@
 
     /** Questions that waited leave, as many in a message as one gateway can be asked. */
     private void askQueued(double now) {
-        for (Question q : queue.expired(now, ANSWER_MS)) {
+        for (PendingAdmission q : queue.expired(now, ANSWER_MS)) {
             back(q.quota);
             refuse(now, q, Why.CEILING);
         }
@@ -481,7 +481,7 @@
             if (batch == null) {
                 return;
             }
-            for (Question q : batch.questions()) {
+            for (PendingAdmission q : batch.questions()) {
                 q.peer = batch.peer();
                 q.lenders.add(q.peer);
                 begin(now, q);
@@ -492,7 +492,7 @@
     }
 
     /** Whether that peer is worth asking; one that leaves has units while it is there. */
-    private boolean mayLend(double now, Question q, int peer) {
+    private boolean mayLend(double now, PendingAdmission q, int peer) {
         boolean silent = peers[peer].silent;
         if (silent) {
             knock(now, peer, KNOCK_MS);
@@ -502,12 +502,12 @@
 
     /** What this gateway may give itself of a ceiling. */
     private double ownCeiling(double now, CustomerView k) {
-        Book own = k.keepers.shares(config.me()) ? book(now, k.named) : null;
+        QuotaLedger own = k.keepers.shares(config.me()) ? book(now, k.named) : null;
         return own == null ? 0 : own.ceiling(now, fill(now, own));
     }
 
     /** False where no question may leave. */
-    private boolean ask(double now, Question q) {
+    private boolean ask(double now, PendingAdmission q) {
         if (open.size() >= OPEN_MAX || now + ANSWER_MS >= q.lastMs || !takeCredit(now)) {
             return false;
         }
@@ -516,7 +516,7 @@
         return true;
     }
 
-    private void begin(double now, Question q) {
+    private void begin(double now, PendingAdmission q) {
         q.serial = nextSerial();
         q.sends = 0;
         q.askedAt = now;
@@ -561,46 +561,46 @@
         return has;
     }
 
-    private void send(double now, Question q) {
+    private void send(double now, PendingAdmission q) {
         put(now, q);
         flush();
     }
 
-    private void put(double now, Question q) {
+    private void put(double now, PendingAdmission q) {
         q.sends++;
         q.answerBy = now + ANSWER_MS;
-        say(q.peer, new Talk.Ask(q.serial, q.customer.named, q.units, q.customer.more, q.of));
+        say(q.peer, new QuotaMessage.Ask(q.serial, q.customer.named, q.units, q.customer.more, q.of));
         q.customer.more = 0;
         if (!peers[q.peer].leases) {
-            say(q.peer, new Talk.LeaseCapable());
+            say(q.peer, new QuotaMessage.LeaseCapable());
         }
     }
 
-    private void judgeHere(double now, Question q) {
-        Book b = book(now, q.customer.named);
+    private void judgeHere(double now, PendingAdmission q) {
+        QuotaLedger b = book(now, q.customer.named);
         if (b == null) {
             guess(now, q, false);
             return;
         }
         q.askedAt = now;
         q.peer = config.me();
-        Talk.Verdict v = b.judge(now, q.units, 0, q.of, 0, fill(now, b));
-        if (q.of != Talk.Of.CEILING) {
+        QuotaMessage.Verdict v = b.judge(now, q.units, 0, q.of, 0, fill(now, b));
+        if (q.of != QuotaMessage.Of.CEILING) {
             q.customer.told(now, b.grantable(now) * b.terms.burst(), b.demand());
         }
         verdict(now, q, v, new Grant(config.me(), 0, q.customer.named.customer(), q.units));
     }
 
     /** @param grant of the store's units, where these were asked for */
-    private void verdict(double now, Question q, Talk.Verdict v, Grant grant) {
+    private void verdict(double now, PendingAdmission q, QuotaMessage.Verdict v, Grant grant) {
         boolean capped = q.customer.terms.ceilingRate() > 0;
-        if (q.of != Talk.Of.CEILING && (v == Talk.Verdict.GRANTED || v == Talk.Verdict.CEILING)) {
+        if (q.of != QuotaMessage.Of.CEILING && (v == QuotaMessage.Verdict.GRANTED || v == QuotaMessage.Verdict.CEILING)) {
             q.quota = grant;
         }
-        if (v == Talk.Verdict.GRANTED && q.of != Talk.Of.STORE && q.peer != config.me()) {
+        if (v == QuotaMessage.Verdict.GRANTED && q.of != QuotaMessage.Of.STORE && q.peer != config.me()) {
             q.customer.lender = q.peer;
         }
-        if (v == Talk.Verdict.GRANTED && !(capped && q.of == Talk.Of.STORE)) {
+        if (v == QuotaMessage.Verdict.GRANTED && !(capped && q.of == QuotaMessage.Of.STORE)) {
             double leaveBy = capped ? q.askedAt + CeilingShare.USE_MS : Double.POSITIVE_INFINITY;
             if (now < leaveBy) {
                 accept(now, q, leaveBy);
@@ -608,18 +608,18 @@
                 back(q.quota);
                 refuse(now, q, Why.CEILING);
             }
-        } else if (v == Talk.Verdict.GRANTED || v == Talk.Verdict.CEILING) {
-            if (v == Talk.Verdict.CEILING) {
+        } else if (v == QuotaMessage.Verdict.GRANTED || v == QuotaMessage.Verdict.CEILING) {
+            if (v == QuotaMessage.Verdict.CEILING) {
                 q.lenders.add(q.peer);
             }
             lender(now, q);
         } else { // where none can judge, two gateways were told different things of this customer
             back(q.quota);
-            refuse(now, q, v == Talk.Verdict.STORE ? Why.STORE : Why.GUESSED);
+            refuse(now, q, v == QuotaMessage.Verdict.STORE ? Why.STORE : Why.GUESSED);
         }
     }
 
-    private void refuse(double now, Question q, Why why) {
+    private void refuse(double now, PendingAdmission q, Why why) {
         CustomerView k = q.customer;
         double lacks = q.units - (k.level + k.terms.rate() * k.ageMs(now) / 1000);
         double retryMs = why == Why.STORE && k.terms.rate() > 0 ? 1000 * Math.max(0, lacks) / k.terms.rate() : 0;
@@ -631,9 +631,9 @@
      *
      * @param keeperThere whether the demand is of use to a keeper: of the time of a cut it is old when it can be told
      */
-    private void guess(double now, Question q, boolean keeperThere) {
+    private void guess(double now, PendingAdmission q, boolean keeperThere) {
         CustomerView k = q.customer;
-        double chance = Guess.chance(k.terms, k.level, k.demand, k.ageMs(now), q.units);
+        double chance = DegradedModeEstimator.chance(k.terms, k.level, k.demand, k.ageMs(now), q.units);
         if (random.nextDouble() >= chance) {
             if (keeperThere) {
                 k.unreported += q.units;
@@ -651,7 +651,7 @@
         }
     }
 
-    private void accept(double now, Question q, double leaveBy) {
+    private void accept(double now, PendingAdmission q, double leaveBy) {
         if (q.guessed) {
             CustomerView k = q.customer;
             counts.guessed++;
@@ -667,8 +667,8 @@
     // ---- leases
 
     /** Who is to be asked for a lease; -1 where nobody is, or this gateway has the units itself. */
-    private int leaseOwner(double now, CustomerView k, Talk.Of of) {
-        if (of == Talk.Of.CEILING) {
+    private int leaseOwner(double now, CustomerView k, QuotaMessage.Of of) {
+        if (of == QuotaMessage.Of.CEILING) {
             boolean usable = k.lender >= 0 && k.lender != config.me() && !peers[k.lender].silent;
             return usable && peers[k.lender].leases ? k.lender : -1;
         }
@@ -703,54 +703,54 @@
     private void reportUsage(double now, int keeper, CustomerView k) {
         double units = k.guessed(now);
         if (keeper == config.me()) {
-            Book own = book(now, k.named);
+            QuotaLedger own = book(now, k.named);
             if (own != null) {
                 own.used(now, units, k.unreported, fill(now, own));
                 k.told(now, own.level(), own.demand());
             }
         } else if (k.unreported > 0 && peers[keeper].leases) {
-            say(keeper, new Talk.UsageReport(nextSerial(), k.named, units, k.unreported));
+            say(keeper, new QuotaMessage.UsageReport(nextSerial(), k.named, units, k.unreported));
         } else {
-            say(keeper, new Talk.Used(nextSerial(), k.named, units));
+            say(keeper, new QuotaMessage.Used(nextSerial(), k.named, units));
         }
         k.guessed = 0;
         k.unreported = 0;
     }
 
-    private void hearUsageReport(double now, int from, Peer p, Talk.UsageReport u) {
-        Book b = p.verdicts.of(now, u.serial()) == null ? bookOf(now, u.named(), from) : null;
+    private void hearUsageReport(double now, int from, Peer p, QuotaMessage.UsageReport u) {
+        QuotaLedger b = p.verdicts.of(now, u.serial()) == null ? bookOf(now, u.named(), from) : null;
         if (b != null) {
-            p.verdicts.keep(now, u.serial(), Talk.Verdict.GRANTED, b, 0);
+            p.verdicts.keep(now, u.serial(), QuotaMessage.Verdict.GRANTED, b, 0);
             b.used(now, u.units(), u.tried(), fill(now, b));
-            say(from, new Talk.Hint(u.named().customer(), u.named().plan(), b.grantable(now), b.demand()));
+            say(from, new QuotaMessage.Hint(u.named().customer(), u.named().plan(), b.grantable(now), b.demand()));
         }
     }
 
     private int nextSerial() {
-        serial = serial + 1 & Talk.WORD;
+        serial = serial + 1 & QuotaMessage.WORD;
         return serial;
     }
 
-    private void hearLeaseRequest(double now, int from, Peer p, Talk.LeaseRequest request) {
-        Book b = bookOf(now, request.named(), from);
+    private void hearLeaseRequest(double now, int from, Peer p, QuotaMessage.LeaseRequest request) {
+        QuotaLedger b = bookOf(now, request.named(), from);
         double units = 0;
         if (b != null) {
             units = b.lease(now, from, p.life.number(), request, before(now, b) < 0, fill(now, b));
         }
         if (request.units() > 0) {
             double fullness = b == null ? 0 : b.grantable(now);
-            say(from, new Talk.LeaseGrant(request.serial(), units, fullness, b == null ? 0 : b.demand()));
+            say(from, new QuotaMessage.LeaseGrant(request.serial(), units, fullness, b == null ? 0 : b.demand()));
         }
     }
 
-    private void hearLeaseGrant(double now, int from, Peer p, Talk.LeaseGrant grant) {
+    private void hearLeaseGrant(double now, int from, Peer p, QuotaMessage.LeaseGrant grant) {
         CustomerView k = renewals.granted(now, from, p.life.number(), grant);
         if (k != null) {
             k.told(now, grant.fullness() * k.terms.burst(), grant.demand());
         }
     }
 
-    private void end(Question q) {
+    private void end(PendingAdmission q) {
         ended.add(q.serial);
         if (ended.size() > ENDED_MAX) {
             ended.remove(ended.iterator().next());
@@ -765,7 +765,7 @@
             hellos++;
             hello();
         }
-        for (Question q : open.values().stream().filter(x -> now >= x.answerBy).toList()) {
+        for (PendingAdmission q : open.values().stream().filter(x -> now >= x.answerBy).toList()) {
             if (open.get(q.serial) == q) { // no decision on the way has ended it
                 missed(now, q);
             }
@@ -790,11 +790,11 @@
 
     /** Once others have spoken the tier serves already, and may keep books for this one. */
     private void hello() {
-        IntStream.of(Keepers.neighbours(config.me(), peers.length))
-                .forEach(g -> say(g, new Talk.Presence(Talk.State.SERVES)));
+        IntStream.of(LedgerPlacement.neighbours(config.me(), peers.length))
+                .forEach(g -> say(g, new QuotaMessage.Presence(QuotaMessage.State.SERVES)));
     }
 
-    private boolean asksTooMuch(double now, Book b) {
+    private boolean asksTooMuch(double now, QuotaLedger b) {
         boolean mine = b.keepers.place(config.me()) >= 0 && b.terms.rate() > 0 && b.demand() > b.terms.rate();
         if (!mine || before(now, b) >= 0) {
             return false;
@@ -806,14 +806,14 @@
     /** The next few of them. */
     private void hint(double now, int to) {
         for (int i = 0; i < Math.min(HINTS, pressed.size()); i++) {
-            Book b = pressed.get(hinted++ % pressed.size());
+            QuotaLedger b = pressed.get(hinted++ % pressed.size());
             b.touch(now, fill(now, b));
-            say(to, new Talk.Hint(b.named.customer(), b.named.plan(), b.fullness(), b.demand()));
+            say(to, new QuotaMessage.Hint(b.named.customer(), b.named.plan(), b.fullness(), b.demand()));
         }
         hinted %= Math.max(1, pressed.size());
     }
 
-    private void hearHint(double now, Talk.Hint h) {
+    private void hearHint(double now, QuotaMessage.Hint h) {
         if (h.plan() >= config.plans().size()) {
             return;
         }
@@ -829,11 +829,11 @@
         }
     }
 
-    private static double forgetMs(Terms terms) {
+    private static double forgetMs(QuotaTerms terms) {
         return Math.max(FORGET_MS, FILLED * terms.fillMs());
     }
 
-    private void missed(double now, Question q) {
+    private void missed(double now, PendingAdmission q) {
         Peer p = peers[q.peer];
         if (q.sends == 1) {
             p.answers -= ANSWERS_GAIN * p.answers;
@@ -853,7 +853,7 @@
             p.silent = true;
             p.knockedAt = now - KNOCK_MS + HINTED_MS; // by chance all may have been lost
         }
-        if (q.of == Talk.Of.CEILING) {
+        if (q.of == QuotaMessage.Of.CEILING) {
             lender(now, q);
         } else {
             next(now, q);
@@ -861,7 +861,7 @@
     }
 
     /** The first keeper that is there tells the one that would come after it. */
-    private void sync(double now, Book b) {
+    private void sync(double now, QuotaLedger b) {
         int mine = b.keepers.place(config.me());
         if (mine < 0 || b.usedAt <= b.toldAt || b.terms.rate() <= 0 || before(now, b) >= 0) {
             return;
@@ -876,9 +876,9 @@
         }
     }
 
-    private void tellBook(double now, Book b, int to) {
+    private void tellBook(double now, QuotaLedger b, int to) {
         b.touch(now, fill(now, b));
-        say(to, new Talk.Sync(b.named, b.fullness(), b.demand()));
+        say(to, new QuotaMessage.Sync(b.named, b.fullness(), b.demand()));
     }
 
     /**
@@ -887,8 +887,8 @@
      */
     public void leave(double now) {
         books.values().forEach(b -> sync(now, b));
-        IntStream.of(Keepers.neighbours(config.me(), peers.length))
-                .forEach(g -> say(g, new Talk.Presence(Talk.State.LEAVES)));
+        IntStream.of(LedgerPlacement.neighbours(config.me(), peers.length))
+                .forEach(g -> say(g, new QuotaMessage.Presence(QuotaMessage.State.LEAVES)));
         flush();
     }
 
@@ -897,16 +897,16 @@
     /**
      * A peer's message; what is of no sense is ignored.
      *
-     * @param talk null where it was of an older version
+     * @param message null where it was of an older version
      */
-    public void heard(double now, int from, Talk talk) {
-        if (talk == null) {
+    public void heard(double now, int from, QuotaMessage message) {
+        if (message == null) {
             olderAt = now;
             return;
         }
         Peer p = peers[from];
-        boolean begins = !p.life.isKnown() || talk.life() != p.life.number();
-        if (!p.life.hears(now, talk.life())) {
+        boolean begins = !p.life.isKnown() || message.life() != p.life.number();
+        if (!p.life.hears(now, message.life())) {
             return;
         }
         if (begins) {
@@ -917,42 +917,42 @@
         }
         hears(now, p);
         heardSince = Math.min(heardSince, now);
-        boolean answersMe = talk.toLife() == (life & Talk.WORD);
-        boolean fresh = !p.synced || (short) (talk.count() - p.syncCount) > 0;
-        for (Talk.Item item : talk.items()) {
-            if (item instanceof Talk.LeaseCapable) {
+        boolean answersMe = message.toLife() == (life & QuotaMessage.WORD);
+        boolean fresh = !p.synced || (short) (message.count() - p.syncCount) > 0;
+        for (QuotaMessage.Item item : message.items()) {
+            if (item instanceof QuotaMessage.LeaseCapable) {
                 p.leases = true;
-                if (talk.items().stream().anyMatch(i -> i instanceof Talk.Ask)) { // said until it is answered
+                if (message.items().stream().anyMatch(i -> i instanceof QuotaMessage.Ask)) { // said until it is answered
                     say(from, item);
                 }
-            } else if (item instanceof Talk.LeaseRequest r) {
+            } else if (item instanceof QuotaMessage.LeaseRequest r) {
                 p.leases = true;
                 hearLeaseRequest(now, from, p, r);
-            } else if (item instanceof Talk.UsageReport u) {
+            } else if (item instanceof QuotaMessage.UsageReport u) {
                 p.leases = true;
                 hearUsageReport(now, from, p, u);
-            } else if (item instanceof Talk.LeaseGrant g && answersMe) {
+            } else if (item instanceof QuotaMessage.LeaseGrant g && answersMe) {
                 hearLeaseGrant(now, from, p, g);
-            } else if (item instanceof Talk.Ask a) {
+            } else if (item instanceof QuotaMessage.Ask a) {
                 hearAsk(now, from, p, a);
-            } else if (item instanceof Talk.Answer a && answersMe) {
+            } else if (item instanceof QuotaMessage.Answer a && answersMe) {
                 hearAnswer(now, from, a);
-            } else if (item instanceof Talk.Back b) {
+            } else if (item instanceof QuotaMessage.Back b) {
                 p.verdicts.back(now, b.serial());
-            } else if (item instanceof Talk.Used u) {
+            } else if (item instanceof QuotaMessage.Used u) {
                 hearUsed(now, from, p, u);
-            } else if (item instanceof Talk.Sync s && fresh) {
+            } else if (item instanceof QuotaMessage.Sync s && fresh) {
                 p.synced = true;
-                p.syncCount = talk.count();
+                p.syncCount = message.count();
                 hearSync(now, from, s);
-            } else if (item instanceof Talk.Hint h) {
+            } else if (item instanceof QuotaMessage.Hint h) {
                 hearHint(now, h);
-            } else if (item instanceof Talk.Presence s) {
+            } else if (item instanceof QuotaMessage.Presence s) {
                 hearPresence(now, from, p, s.state());
             }
         }
-        if (talk.items().stream().noneMatch(i -> i instanceof Talk.Answer || i instanceof Talk.LeaseGrant
-                || i instanceof Talk.Hint)) { // what answers a message of ours was counted with it
+        if (message.items().stream().noneMatch(i -> i instanceof QuotaMessage.Answer || i instanceof QuotaMessage.LeaseGrant
+                || i instanceof QuotaMessage.Hint)) { // what answers a message of ours was counted with it
             credit = Math.max(Math.min(credit, 0), credit(now) - 1);
         }
         flush();
@@ -962,62 +962,62 @@
      * Versions before this one split a ceiling otherwise: half to the first keeper, half evenly over the set. While any of
      * them speaks, this gateway has no more than such an even part, so that all shares stay within the whole.
      */
-    private CeilingShare.Fill fill(double now, Book b) {
+    private CeilingShare.Fill fill(double now, QuotaLedger b) {
         boolean mixed = now - olderAt < OLDER_MS;
         int shares = b.keepers.shares().length;
         return new CeilingShare.Fill(filling, mixed && shares > 0 ? OLDER_EVEN * shares / b.named.spread() : 1);
     }
 
-    private Book book(double now, Talk.Named named) {
-        Book b = books.get(named.customer());
+    private QuotaLedger book(double now, QuotaMessage.Named named) {
+        QuotaLedger b = books.get(named.customer());
         if (b != null) {
             return b.named.equals(named) ? b : null; // the plan and the set that came first stand
         }
         if (books.size() >= config.most() || named.plan() >= config.plans().size()) {
             return null;
         }
-        Keepers keepers = keepers(named);
+        LedgerPlacement keepers = keepers(named);
         boolean holds = keepers.shares(config.me());
         if (keepers.place(config.me()) < 0 && !holds) {
             return null;
         }
-        Terms terms = config.plans().get(named.plan());
+        QuotaTerms terms = config.plans().get(named.plan());
         CeilingShare ceiling = holds ? new CeilingShare(terms, 1.0 / keepers.shares().length, fillsSince) : null;
-        b = new Book(named, keepers, terms, ceiling, now);
+        b = new QuotaLedger(named, keepers, terms, ceiling, now);
         books.put(named.customer(), b);
         return b;
     }
 
     /** The book of a customer that a peer speaks of; null also where the peer or this gateway can't be of its set. */
-    private Book bookOf(double now, Talk.Named named, int from) {
+    private QuotaLedger bookOf(double now, QuotaMessage.Named named, int from) {
         boolean possible = named.holds(from, peers.length) && named.holds(config.me(), peers.length);
         return possible ? book(now, named) : null;
     }
 
-    private void hearAsk(double now, int from, Peer p, Talk.Ask a) {
-        Verdicts.Kept kept = p.verdicts.of(now, a.serial());
+    private void hearAsk(double now, int from, Peer p, QuotaMessage.Ask a) {
+        ReplyCache.Kept kept = p.verdicts.of(now, a.serial());
         boolean news = kept == null;
-        Book b = news ? bookOf(now, a.named(), from) : kept.book();
-        int before = b == null || a.of() == Talk.Of.CEILING ? -1 : before(now, b);
+        QuotaLedger b = news ? bookOf(now, a.named(), from) : kept.book();
+        int before = b == null || a.of() == QuotaMessage.Of.CEILING ? -1 : before(now, b);
         if (news) {
             double spent = before >= 0 ? b.spentElsewhere(now) : 0;
-            Talk.Verdict v = b == null ? Talk.Verdict.UNABLE
+            QuotaMessage.Verdict v = b == null ? QuotaMessage.Verdict.UNABLE
                     : b.judge(now, a.units(), a.more(), a.of(), spent, fill(now, b));
-            boolean took = a.of() != Talk.Of.CEILING && (v == Talk.Verdict.GRANTED || v == Talk.Verdict.CEILING);
+            boolean took = a.of() != QuotaMessage.Of.CEILING && (v == QuotaMessage.Verdict.GRANTED || v == QuotaMessage.Verdict.CEILING);
             kept = p.verdicts.keep(now, a.serial(), v, b, took ? a.units() : 0);
-            counts.unable += v == Talk.Verdict.UNABLE ? 1 : 0;
+            counts.unable += v == QuotaMessage.Verdict.UNABLE ? 1 : 0;
             counts.stoodIn += before >= 0 ? 1 : 0;
         }
         if (news && before >= 0 && kept.units() > 0) { // two are asked for one book just now
-            say(before, new Talk.Used(nextSerial(), a.named(), kept.units()));
+            say(before, new QuotaMessage.Used(nextSerial(), a.named(), kept.units()));
         }
-        say(from, new Talk.Answer(a.serial(), kept.verdict(), b == null ? 0 : b.grantable(now), b == null ? 0 : b.demand(),
+        say(from, new QuotaMessage.Answer(a.serial(), kept.verdict(), b == null ? 0 : b.grantable(now), b == null ? 0 : b.demand(),
                 before >= 0));
         hint(now, from);
     }
 
     /** The keeper that comes before this gateway and is there; -1 where this one is in charge. */
-    private int before(double now, Book b) {
+    private int before(double now, QuotaLedger b) {
         int mine = b.keepers.place(config.me());
         for (int i = 0; i < mine; i++) {
             if (there(now, b.keepers.books()[i])) {
@@ -1027,20 +1027,20 @@
         return -1;
     }
 
-    private void hearUsed(double now, int from, Peer p, Talk.Used u) {
-        Book b = p.verdicts.of(now, u.serial()) == null ? bookOf(now, u.named(), from) : null;
+    private void hearUsed(double now, int from, Peer p, QuotaMessage.Used u) {
+        QuotaLedger b = p.verdicts.of(now, u.serial()) == null ? bookOf(now, u.named(), from) : null;
         if (b != null) {
-            p.verdicts.keep(now, u.serial(), Talk.Verdict.GRANTED, b, 0);
+            p.verdicts.keep(now, u.serial(), QuotaMessage.Verdict.GRANTED, b, 0);
             b.used(now, u.units(), 0, fill(now, b));
         }
     }
 
-    private void hearAnswer(double now, int from, Talk.Answer a) {
-        Question q = open.get(a.serial());
+    private void hearAnswer(double now, int from, QuotaMessage.Answer a) {
+        PendingAdmission q = open.get(a.serial());
         if (q == null || q.peer != from) {
-            boolean took = a.verdict() == Talk.Verdict.GRANTED || a.verdict() == Talk.Verdict.CEILING;
+            boolean took = a.verdict() == QuotaMessage.Verdict.GRANTED || a.verdict() == QuotaMessage.Verdict.CEILING;
             if (ended.remove(a.serial()) && took) {
-                say(from, new Talk.Back(a.serial()));
+                say(from, new QuotaMessage.Back(a.serial()));
             }
             return;
         }
@@ -1051,14 +1051,14 @@
         if (a.standsIn()) { // asked of all that were passed over on the way
             IntStream.range(0, q.place).forEach(i -> knock(now, q.customer.keepers.books()[i], HINTED_MS));
         }
-        if (a.verdict() != Talk.Verdict.UNABLE && q.of != Talk.Of.CEILING) {
+        if (a.verdict() != QuotaMessage.Verdict.UNABLE && q.of != QuotaMessage.Of.CEILING) {
             q.customer.told(now, a.fullness() * q.customer.terms.burst(), a.demand());
         }
         verdict(now, q, a.verdict(), new Grant(from, a.serial(), q.customer.named.customer(), q.units));
     }
 
-    private void hearSync(double now, int from, Talk.Sync s) {
-        Book b = bookOf(now, s.named(), from);
+    private void hearSync(double now, int from, QuotaMessage.Sync s) {
+        QuotaLedger b = bookOf(now, s.named(), from);
         int theirs = b == null ? -1 : b.keepers.place(from);
         int mine = b == null ? -1 : b.keepers.place(config.me());
         if (theirs < 0 || mine < 0) {
@@ -1070,11 +1070,11 @@
         }
     }
 
-    private void hearPresence(double now, int from, Peer p, Talk.State state) {
+    private void hearPresence(double now, int from, Peer p, QuotaMessage.State state) {
         switch (state) {
             case SERVES -> {
                 p.leaves = false;
-                for (Book b : books.values()) {
+                for (QuotaLedger b : books.values()) {
                     int theirs = b.keepers.place(from);
                     boolean active = now - b.usedAt < ACTIVE_MS && b.terms.rate() > 0;
                     if (active && theirs >= 0 && theirs < b.keepers.place(config.me())) {
@@ -1083,7 +1083,7 @@
                 }
             }
             case LEAVES -> p.leaves = true;
-            case ASKS -> say(from, new Talk.Presence(Talk.State.HERE));
+            case ASKS -> say(from, new QuotaMessage.Presence(QuotaMessage.State.HERE));
             default -> { }
         }
     }
@@ -1098,21 +1098,21 @@
 
     // ---- messages
 
-    private void say(int to, Talk.Item item) {
+    private void say(int to, QuotaMessage.Item item) {
         due.computeIfAbsent(to, p -> new ArrayList<>()).add(item);
     }
 
     /** All that is due leaves, as few messages a peer as it fits in. */
     private void flush() {
-        for (Map.Entry<Integer, List<Talk.Item>> e : due.entrySet()) {
-            List<Talk.Item> part = new ArrayList<>();
-            int size = Talk.HEAD_BYTES;
-            for (Talk.Item item : e.getValue()) {
-                int more = Talk.bytes(item);
-                if (size + more > Talk.MOST_BYTES) {
+        for (Map.Entry<Integer, List<QuotaMessage.Item>> e : due.entrySet()) {
+            List<QuotaMessage.Item> part = new ArrayList<>();
+            int size = QuotaMessage.HEAD_BYTES;
+            for (QuotaMessage.Item item : e.getValue()) {
+                int more = QuotaMessage.bytes(item);
+                if (size + more > QuotaMessage.MOST_BYTES) {
                     tell(e.getKey(), peers[e.getKey()].life.number(), part);
                     part = new ArrayList<>();
-                    size = Talk.HEAD_BYTES;
+                    size = QuotaMessage.HEAD_BYTES;
                 }
                 part.add(item);
                 size += more;
@@ -1122,8 +1122,8 @@
         due.clear();
     }
 
-    private void tell(int to, int toLife, List<Talk.Item> items) {
-        count = count + 1 & Talk.WORD;
-        link.tell(to, new Talk(life, toLife & Talk.WORD, count, items).bytes());
+    private void tell(int to, int toLife, List<QuotaMessage.Item> items) {
+        count = count + 1 & QuotaMessage.WORD;
+        link.tell(to, new QuotaMessage(life, toLife & QuotaMessage.WORD, count, items).bytes());
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/Book.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaLedger.java
@@ -4,7 +4,7 @@
  * One customer's stores as its keeper has them. The quota's store may be a little below nothing where a word of another
  * keeper says so; a grant never takes it there.
  */
-final class Book {
+final class QuotaLedger {
     /** Part of the burst that may be leased at a time. */
     static final double LEASED_MOST = 0.7;
     /**
@@ -14,9 +14,9 @@
     static final double OVERCOMMIT = 0.25;
     private static final double DEMAND_MS = 2000; // averaging of demand: longer than gaps between requests
 
-    final Talk.Named named;
-    final Keepers keepers;
-    final Terms terms;
+    final QuotaMessage.Named named;
+    final LedgerPlacement keepers;
+    final QuotaTerms terms;
     private final LeaseLedger leases = new LeaseLedger();
     private final CeilingShare ceiling; // null where the plan has none, or none of it is here
     /** Whether it is known what was used before this gateway had the book, or it was there from the first. */
@@ -28,7 +28,7 @@
     private double demand;
     private double at;
 
-    Book(Talk.Named named, Keepers keepers, Terms terms, CeilingShare ceiling, double now) {
+    QuotaLedger(QuotaMessage.Named named, LedgerPlacement keepers, QuotaTerms terms, CeilingShare ceiling, double now) {
         this.named = named;
         this.keepers = keepers;
         this.terms = terms;
@@ -56,24 +56,24 @@
      * @param more units that the asker refused by itself
      * @param spent units that another keeper of the book may have granted unheard
      */
-    Talk.Verdict judge(double now, double units, double more, Talk.Of of, double spent, CeilingShare.Fill fill) {
+    QuotaMessage.Verdict judge(double now, double units, double more, QuotaMessage.Of of, double spent, CeilingShare.Fill fill) {
         touch(now, fill);
         usedAt = now;
-        if (of != Talk.Of.CEILING) {
+        if (of != QuotaMessage.Of.CEILING) {
             demand += (units + more) / DEMAND_MS * 1000;
             if (terms.rate() > 0 && level + unspentLeases(now) - spent < units) {
-                return Talk.Verdict.STORE;
+                return QuotaMessage.Verdict.STORE;
             }
             level -= terms.rate() > 0 ? units : 0;
         }
-        if (of == Talk.Of.STORE || terms.ceilingRate() <= 0) {
-            return Talk.Verdict.GRANTED;
+        if (of == QuotaMessage.Of.STORE || terms.ceilingRate() <= 0) {
+            return QuotaMessage.Verdict.GRANTED;
         }
         if (ceiling == null || ceiling.at(now, fill) < units) {
-            return Talk.Verdict.CEILING;
+            return QuotaMessage.Verdict.CEILING;
         }
         ceiling.give(now, units);
-        return Talk.Verdict.GRANTED;
+        return QuotaMessage.Verdict.GRANTED;
     }
 
     /**
@@ -84,10 +84,10 @@
      * @param inCharge whether this gateway may lease the quota's units
      * @return units granted beside those held
      */
-    double lease(double now, int peer, int life, Talk.LeaseRequest request, boolean inCharge, CeilingShare.Fill fill) {
+    double lease(double now, int peer, int life, QuotaMessage.LeaseRequest request, boolean inCharge, CeilingShare.Fill fill) {
         touch(now, fill);
         usedAt = now;
-        if (request.of() == Talk.Of.CEILING) {
+        if (request.of() == QuotaMessage.Of.CEILING) {
             return ceiling == null ? 0 : ceiling.lease(now, peer, life, request, fill);
         }
         LeaseLedger.Settled settled = leases.settle(now, peer, life, request);
@@ -136,7 +136,7 @@
     }
 
     /** Another keeper's word: it stands in place of what is here, or counts where it says less. */
-    void told(double now, Talk.Sync sync, boolean inPlace, CeilingShare.Fill fill) {
+    void told(double now, QuotaMessage.Sync sync, boolean inPlace, CeilingShare.Fill fill) {
         touch(now, fill);
         double said = sync.fullness() * terms.burst();
         level = inPlace ? said : Math.min(level, said);
--- a/gateway/src/main/java/marlford/gateway/quota/Talk.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaMessage.java
@@ -14,7 +14,7 @@
  * @param count messages of this life up to this one, 16 bits, running over
  * @param items as many as {@link #MOST_BYTES} have room for
  */
-public record Talk(int life, int toLife, int count, List<Item> items) {
+public record QuotaMessage(int life, int toLife, int count, List<Item> items) {
     /** Largest message, in bytes. */
     public static final int MOST_BYTES = 256;
     static final int HEAD_BYTES = 11;
@@ -184,7 +184,7 @@
 
     /** @throws IllegalArgumentException where there is more than fits */
     public byte[] bytes() {
-        int size = HEAD_BYTES + items.stream().mapToInt(Talk::bytes).sum();
+        int size = HEAD_BYTES + items.stream().mapToInt(QuotaMessage::bytes).sum();
         if (size > MOST_BYTES) {
             throw new IllegalArgumentException("too much for one message: " + size + " bytes");
         }
@@ -261,7 +261,7 @@
     }
 
     /** Null where the bytes are no such message: short, long, damaged or of another version. */
-    public static Talk read(byte[] data) {
+    public static QuotaMessage read(byte[] data) {
         ByteBuffer b = Frame.open(data, VERSION, HEAD_BYTES, MOST_BYTES);
         if (b == null) {
             return null;
@@ -277,7 +277,7 @@
             }
             items.add(item);
         }
-        return new Talk(life, toLife, count, items);
+        return new QuotaMessage(life, toLife, count, items);
     }
 
     private static Item item(ByteBuffer b) {
--- a/gateway/src/main/java/marlford/gateway/quota/Terms.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaTerms.java
@@ -8,7 +8,7 @@
  * @param ceilingRate units a second into the ceiling's store
  * @param ceilingBurst units that it holds
  */
-public record Terms(double rate, double burst, double ceilingRate, double ceilingBurst) {
+public record QuotaTerms(double rate, double burst, double ceilingRate, double ceilingBurst) {
     /** Longest time, in milliseconds, in which an idle customer's stores have filled. */
     double fillMs() {
         double quota = rate > 0 ? burst / rate : 0;
--- a/gateway/src/main/java/marlford/gateway/quota/Verdicts.java
+++ b/gateway/src/main/java/marlford/gateway/quota/ReplyCache.java
@@ -5,12 +5,12 @@
  * takes nothing anew, and units are given back once. Bound: the last {@value #MOST} questions by serial, for
  * {@value #KEPT_MS} ms: no question or word of it is out so long, and serials run over, in hours at the least.
  */
-final class Verdicts {
+final class ReplyCache {
     static final int MOST = 32;
     static final double KEPT_MS = 10_000;
 
     /** @param units taken from the book's store, 0 where none were */
-    record Kept(double at, int serial, Talk.Verdict verdict, Book book, double units) { }
+    record Kept(double at, int serial, QuotaMessage.Verdict verdict, QuotaLedger book, double units) { }
 
     private Kept[] kept; // from the first question on
 
@@ -24,11 +24,11 @@
         return k != null && k.serial() == serial && now - k.at() < KEPT_MS ? k : null;
     }
 
-    Kept keep(double now, int serial, Talk.Verdict verdict, Book book, double units) {
+    Kept keep(double now, int serial, QuotaMessage.Verdict verdict, QuotaLedger ledger, double units) {
         if (kept == null) {
             kept = new Kept[MOST];
         }
-        Kept k = new Kept(now, serial, verdict, book, units);
+        Kept k = new Kept(now, serial, verdict, ledger, units);
         kept[serial % MOST] = k;
         return k;
     }
--- a/gateway/src/main/java/marlford/gateway/end/Linger.java
+++ b/gateway/src/main/java/marlford/gateway/shutdown/LingeringClose.java
@@ -1,4 +1,4 @@
-package marlford.gateway.end;
+package marlford.gateway.shutdown;
 
 /**
  * How long a connection of a client is read on once its last answer has left and its sending is ended (RFC 9112, 9.6): until
@@ -8,7 +8,7 @@
  * <p>Pure: no clock and no I/O. Not thread-safe; it belongs to one event loop. The bounds are of a client that does not
  * stop, and of no deployment.
  */
-public final class Linger {
+public final class LingeringClose {
     /** Far beyond the 200 ms of the longest way there and back; a lost packet or two is sent again by then. */
     static final double LONGEST_MS = 2000;
     /** More than a socket and the way hold unread; who sends on beyond that does not listen. */
@@ -18,7 +18,7 @@
     private long bytes;
 
     /** @param now milliseconds on the caller's clock, at which the sending was ended */
-    public Linger(double now) {
+    public LingeringClose(double now) {
         this.endsAt = now + LONGEST_MS;
     }
 
--- a/gateway/src/main/java/marlford/gateway/end/EndSchedule.java
+++ b/gateway/src/main/java/marlford/gateway/shutdown/ShutdownSchedule.java
@@ -1,4 +1,4 @@
-package marlford.gateway.end;
+package marlford.gateway.shutdown;
 
 /**
  * When a process that was told to end does what, in milliseconds from SIGTERM. The platform kills it no sooner than the
@@ -19,7 +19,7 @@
  * @param exitsMs the process ends, answered or not
  * @param killedMs the platform may kill it from then on
  */
-public record EndSchedule(double staysMs, double acceptsMs, double endsMs, double saysMs, double exitsMs,
+public record ShutdownSchedule(double staysMs, double acceptsMs, double endsMs, double saysMs, double exitsMs,
         double killedMs) {
     /** The longest deadline that the platform waits for. */
     static final double DEADLINE_MOST_MS = 3000;
@@ -33,12 +33,12 @@
     private static final double EXITS_SHARE = 4.0 / 7; // the same: the last bytes have had their time
 
     /** @param longestMs the longest deadline of the settings' classes, in milliseconds; 0 or more */
-    public static EndSchedule of(double longestMs) {
+    public static ShutdownSchedule of(double longestMs) {
         double waits = Math.min(DEADLINE_MOST_MS, Math.max(0, longestMs));
         double killed = waits + PLATFORM_MS;
         double ends = Math.max(ACCEPTS_MS, waits);
         double left = killed - ends;
-        return new EndSchedule(Math.max(0, waits - LAST_MS), ACCEPTS_MS, ends, ends + SAYS_SHARE * left,
+        return new ShutdownSchedule(Math.max(0, waits - LAST_MS), ACCEPTS_MS, ends, ends + SAYS_SHARE * left,
                 ends + EXITS_SHARE * left, killed);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/start/Birth.java
+++ b/gateway/src/main/java/marlford/gateway/start/ProcessStartTime.java
@@ -11,7 +11,7 @@
  * system's own files, which count from its boot: the wall clock may be set, and the virtual machine's figure for the
  * start is good to a second only.
  */
-public final class Birth {
+public final class ProcessStartTime {
     private static final int STARTED = 19; // field of /proc/self/stat, counted behind the command's name: starttime
     private static final double TICKS_PER_SECOND = 100; // of /proc, on every architecture that the program runs on
     private static final double MS_PER_SECOND = 1000;
@@ -19,22 +19,22 @@
     private final long readAt = System.nanoTime();
     private final long ageThen;
 
-    private Birth(long ageThen) {
+    private ProcessStartTime(long ageThen) {
         this.ageThen = ageThen;
     }
 
     /** This process's; where the system does not tell, it began just now. */
-    public static Birth ofThisProcess() {
+    public static ProcessStartTime ofThisProcess() {
         try {
-            return new Birth(age(text("/proc/self/stat"), text("/proc/uptime")));
+            return new ProcessStartTime(age(text("/proc/self/stat"), text("/proc/uptime")));
         } catch (IOException | RuntimeException e) {
             return ofNow();
         }
     }
 
     /** Of what begins with this call. */
-    public static Birth ofNow() {
-        return new Birth(0);
+    public static ProcessStartTime ofNow() {
+        return new ProcessStartTime(0);
     }
 
     private static String text(String path) throws IOException {
--- a/gateway/src/main/java/marlford/gateway/start/StartBudget.java
+++ b/gateway/src/main/java/marlford/gateway/start/StartBudget.java
@@ -63,7 +63,7 @@
 
     /** That of this process. */
     public static StartBudget ofThisProcess() {
-        return new StartBudget(Birth.ofThisProcess()::ageMs);
+        return new StartBudget(ProcessStartTime.ofThisProcess()::ageMs);
     }
 
     /** How long the start may wait for this step that begins now, in milliseconds; 0 where it is to be left out. */
--- a/gateway/src/main/java/marlford/gateway/upgrade/Wire.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/HandoverChannel.java
@@ -15,7 +15,7 @@
  * Lines between the two processes of an upgrade. One thread may say and wait; a thread of this class reads, so that a
  * wait can end by time. A line that is too long, or one more than is ever outstanding, ends the connection.
  */
-final class Wire implements Closeable {
+final class HandoverChannel implements Closeable {
     private static final int LINE_MAX = 256; // characters
     private static final int AHEAD_MAX = 8; // lines not yet asked for
     private static final String END = ""; // never a line of the protocol
@@ -24,7 +24,7 @@
     private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(AHEAD_MAX);
     private volatile boolean ended;
 
-    Wire(SocketChannel channel) {
+    HandoverChannel(SocketChannel channel) {
         this.channel = channel;
         Thread reader = new Thread(this::read, "upgrade");
         reader.setDaemon(true);
--- a/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
@@ -16,10 +16,10 @@
     private static final long SHORTEST_PAUSE_MS = 5; // between tries to connect
     private static final long LONGEST_PAUSE_MS = 100;
 
-    private final Wire wire;
+    private final HandoverChannel wire;
     private boolean away;
 
-    private Predecessor(Wire wire) {
+    private Predecessor(HandoverChannel wire) {
         this.wire = wire;
     }
 
@@ -46,7 +46,7 @@
         if (channel == null) {
             return null; // left behind by a process that is gone
         }
-        Wire wire = new Wire(channel);
+        HandoverChannel wire = new HandoverChannel(channel);
         try {
             wire.say(Successor.HELLO);
         } catch (IOException e) {
--- a/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
@@ -119,7 +119,7 @@
     }
 
     private void serveNext(Backoff backoff) throws IOException, InterruptedException {
-        try (SocketChannel channel = listener.accept(); Wire wire = new Wire(channel)) {
+        try (SocketChannel channel = listener.accept(); HandoverChannel wire = new HandoverChannel(channel)) {
             backoff.reset();
             if (!closed) { // a close that met the accepting half way lets one more through
                 serve(wire);
@@ -127,7 +127,7 @@
         }
     }
 
-    private void serve(Wire wire) throws IOException, InterruptedException {
+    private void serve(HandoverChannel wire) throws IOException, InterruptedException {
         String hello = wire.next(SERVING_MS);
         if (!HELLO.equals(hello)) {
             wire.say("no: this is " + HELLO);
