--- a/gateway/src/main/java/marlford/gateway/wire/ReplyWriter.java
+++ b/gateway/src/main/java/marlford/gateway/wire/ReplyWriter.java
@@ -1,7 +1,7 @@
 package marlford.gateway.wire;
 
 import java.util.HexFormat;
-import marlford.gateway.Gateway.Actions;
+import marlford.gateway.EngineApi.Actions;
 
 /** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
 final class ReplyWriter implements Actions {
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         line("TIMER in_ms=").append(number(delayMs)).append(" cookie=").append(token).append('\n');
     }
 
@@ -70,13 +70,13 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         line("NOTIFY dest=").append(peer).append(" contents=")
                 .append(data.length == 0 ? "-" : HexFormat.of().formatHex(data)).append('\n');
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         line("ADD_AND_GET counter=").append(counter).append(" by=").append(number(amount))
                 .append(" lifetime_ms=").append(number(lifetimeMs)).append('\n');
     }
--- a/gateway/src/main/java/marlford/gateway/wire/SettingsReader.java
+++ b/gateway/src/main/java/marlford/gateway/wire/SettingsReader.java
@@ -2,14 +2,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import marlford.gateway.Gateway.Effect;
-import marlford.gateway.Gateway.Limits;
-import marlford.gateway.Gateway.Plan;
-import marlford.gateway.Gateway.RequestClass;
-import marlford.gateway.Gateway.Rules;
-import marlford.gateway.Gateway.Scope;
-import marlford.gateway.Gateway.Settings;
-import marlford.gateway.Gateway.Sharing;
+import marlford.gateway.EngineApi.Effect;
+import marlford.gateway.EngineApi.Limits;
+import marlford.gateway.EngineApi.Plan;
+import marlford.gateway.EngineApi.RequestClass;
+import marlford.gateway.EngineApi.Rules;
+import marlford.gateway.EngineApi.Scope;
+import marlford.gateway.EngineApi.Settings;
+import marlford.gateway.EngineApi.Sharing;
 
 /** Translates the pairs of a start message; absent keys mean that the thing they speak of is not there. */
 public final class SettingsReader {
--- a/gateway/src/main/java/marlford/gateway/wire/WireHost.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireHost.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import marlford.gateway.Brain;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Request;
+import marlford.gateway.DecisionEngine;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Request;
 
 /** Hosts many instances of the decision module on the simulator's wire and translates lines both ways. */
 final class WireHost {
     private final BufferedReader in;
     private final Writer out;
-    private final Map<Long, Brain> brains = new TreeMap<>();
+    private final Map<Long, DecisionEngine> brains = new TreeMap<>();
     private final Map<Integer, List<Host>> catalogs = new TreeMap<>();
     private final long[] lastAt = {Long.MIN_VALUE};
     private final StringBuilder reply = new StringBuilder();
@@ -98,41 +98,41 @@
         }
         Fields f = fields();
         if (name.equals("ATTACH")) {
-            Brain brain = new Brain(new ReplyWriter(reply, target, lastAt));
-            brains.put(target, brain);
-            brain.start(now, SettingsReader.read(f));
+            DecisionEngine engine = new DecisionEngine(new ReplyWriter(reply, target, lastAt));
+            brains.put(target, engine);
+            engine.onStart(now, SettingsReader.read(f));
             return;
         }
         if (name.equals("KILL")) {
             brains.remove(target);
             return;
         }
-        Brain brain = brains.get(target);
-        if (brain == null) {
+        DecisionEngine engine = brains.get(target);
+        if (engine == null) {
             throw new WireFault("'" + name + "' for an instance that was not started: " + target);
         }
         switch (name) {
-            case "MEMBERSHIP" -> membership(now, brain, f);
-            case "DEMAND" -> brain.request(now, new Request(f.text("op_id"), f.number("valid_until_ms"), now,
+            case "MEMBERSHIP" -> membership(now, engine, f);
+            case "DEMAND" -> engine.onRequest(now, new Request(f.text("op_id"), f.number("valid_until_ms"), now,
                     f.flag("retry", false), f.text("lane"), f.whole("holder"), f.text("contract"),
                     f.number("size_units"), f.count("from_no", 0), f.count("doors", 1)));
-            case "FLOWING" -> brain.streamStarted(now, f.text("op_id"), f.count("hop"));
-            case "COMPLETED" -> brain.attemptEnded(now, new AttemptResult(f.text("op_id"), f.count("hop"),
+            case "FLOWING" -> engine.onStreamStarted(now, f.text("op_id"), f.count("hop"));
+            case "COMPLETED" -> engine.onAttemptEnded(now, new AttemptResult(f.text("op_id"), f.count("hop"),
                     f.text("host"), outcome(f.text("reason")), f.number("cost_time_ms", 0),
                     f.flag("terminal", false), f.count("use_pct", 0), f.number("cost", 0),
                     f.row("health_info")));
-            case "VANISHED" -> brain.clientLeft(now, f.text("op_id"));
-            case "DUE" -> brain.timer(now, f.text("cookie"));
-            case "PROBE_RESULT" -> brain.probed(now, f.text("host"), outcome(f.text("reason")),
+            case "VANISHED" -> engine.onClientLeft(now, f.text("op_id"));
+            case "DUE" -> engine.onTimer(now, f.text("cookie"));
+            case "PROBE_RESULT" -> engine.onProbeResult(now, f.text("host"), outcome(f.text("reason")),
                     f.number("cost_time_ms", 0), f.row("health_info"));
-            case "FROM_PEER" -> brain.peerSaid(now, f.count("neighbour"), f.bytes("contents"));
-            case "COUNTED" -> brain.counted(now, f.text("counter"), outcome(f.text("reason")),
+            case "FROM_PEER" -> engine.onPeerMessage(now, f.count("neighbour"), f.bytes("contents"));
+            case "COUNTED" -> engine.onCounterResult(now, f.text("counter"), outcome(f.text("reason")),
                     f.number("reading", 0));
             default -> throw new WireFault("unknown message '" + name + "'");
         }
     }
 
-    private void membership(double now, Brain brain, Fields f) {
+    private void membership(double now, DecisionEngine engine, Fields f) {
         String how = f.text("how");
         ListKind kind = switch (how) {
             case "D" -> ListKind.CHANGES;
@@ -149,7 +149,7 @@
                 throw new WireFault("no CATALOG with page " + page);
             }
         }
-        brain.hosts(now, kind, hosts);
+        engine.onHosts(now, kind, hosts);
     }
 
     private void catalog(Fields f) throws IOException {
--- a/gateway/src/test/java/marlford/gateway/BooksTest.java
+++ b/gateway/src/test/java/marlford/gateway/BooksTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.util.List;
-import marlford.gateway.Gateway.*;
+import marlford.gateway.EngineApi.*;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -44,11 +44,11 @@
     @Test
     void aLifeThatHasNotBegunSilencesNoPeer() {
         FakeGateway g = new FakeGateway(1_000_000, FakeGateway.settings(0, 2)).withHosts("a1");
-        Tell.Entry entry = new Tell.Entry(false, true, false, false, false, 5, 0, 0, 2, 1, 0, 1, 1, 0, 0);
-        g.brain.peerSaid(g.now, 1, new Tell(1_900_000_000, 0, 1, 0, List.of(entry)).bytes());
+        LedgerMessage.Entry entry = new LedgerMessage.Entry(false, true, false, false, false, 5, 0, 0, 2, 1, 0, 1, 1, 0, 0);
+        g.engine.onPeerMessage(g.now, 1, new LedgerMessage(1_900_000_000, 0, 1, 0, List.of(entry)).bytes());
         g.pass(1000);
         assertEquals(0, g.told.size());
-        g.brain.peerSaid(g.now, 1, new Tell(1_000_000, 0, 1, 0, List.of(entry)).bytes());
+        g.engine.onPeerMessage(g.now, 1, new LedgerMessage(1_000_000, 0, 1, 0, List.of(entry)).bytes());
         g.pass(1000);
         assertEquals(1, g.told.size());
     }
@@ -96,7 +96,7 @@
     }
 
     private static void tellUse(FakeGateway g, int life, long customer, int serial, double used) {
-        Tell.Entry entry = new Tell.Entry(false, false, false, false, false, customer, 0, 0, 2, used, 0, 1, 0, 0, 0);
-        g.brain.peerSaid(g.now, 1, new Tell(life, 0, serial, 0, List.of(entry)).bytes());
+        LedgerMessage.Entry entry = new LedgerMessage.Entry(false, false, false, false, false, customer, 0, 0, 2, used, 0, 1, 0, 0, 0);
+        g.engine.onPeerMessage(g.now, 1, new LedgerMessage(life, 0, serial, 0, List.of(entry)).bytes());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/ColdTier.java
+++ b/gateway/src/test/java/marlford/gateway/ColdTier.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Request;
-import marlford.gateway.Gateway.Rules;
-import marlford.gateway.Gateway.Settings;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Request;
+import marlford.gateway.EngineApi.Rules;
+import marlford.gateway.EngineApi.Settings;
 
 /**
  * A tier of gateways, each a whole decision module that decides by itself, before hosts that start cold, in virtual time. The
@@ -170,7 +170,7 @@
     private void tell(ListKind kind, List<SimHost> changed) {
         List<Host> list = changed.stream().map(SimHost::info).toList();
         for (int i = 0; i < gateways.size(); i++) {
-            gateways.get(i).brain.hosts(clockOf(i), kind, list);
+            gateways.get(i).engine.onHosts(clockOf(i), kind, list);
         }
     }
 
@@ -180,7 +180,7 @@
         for (int i = 0; i < gateways.size(); i += WRONG_ONE_IN) {
             gateways.set(i, begin(i));
             lives[i]++;
-            gateways.get(i).brain.hosts(clockOf(i), ListKind.FULL, list);
+            gateways.get(i).engine.onHosts(clockOf(i), ListKind.FULL, list);
         }
     }
 
@@ -247,7 +247,7 @@
         int among = random.nextBoolean() ? gateways.size() : Math.max(1, gateways.size() / BUSY);
         int number = random.nextInt(among);
         double clock = clockOf(number);
-        gateways.get(number).brain.request(clock,
+        gateways.get(number).engine.onRequest(clock,
                 new Request("r" + asked++, clock + TIME_MS, clock, false, "read", 1, "free", 1, 0, 1));
     }
 
@@ -278,7 +278,7 @@
             return; // whoever sent it is gone
         }
         double clock = clockOf(job.gateway);
-        gateways.get(job.gateway).brain.attemptEnded(clock, new AttemptResult(job.id, job.attempt, host, outcome,
+        gateways.get(job.gateway).engine.onAttemptEnded(clock, new AttemptResult(job.id, job.attempt, host, outcome,
                 clock - job.sentAt, ok, 0, 0, new double[0]));
     }
 
--- a/gateway/src/test/java/marlford/gateway/DecisionBenchmark.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionBenchmark.java
@@ -50,18 +50,18 @@
     @Setup(Level.Trial)
     public void start() {
         gateway = new FakeGateway(1000, FakeGateway.settings(0, gateways));
-        List<Gateway.Host> list = IntStream.range(0, hosts).mapToObj(i -> FakeGateway.host("a" + i, "a")).toList();
-        gateway.brain.hosts(gateway.now, Gateway.ListKind.FULL, list);
+        List<EngineApi.Host> list = IntStream.range(0, hosts).mapToObj(i -> FakeGateway.host("a" + i, "a")).toList();
+        gateway.engine.onHosts(gateway.now, EngineApi.ListKind.FULL, list);
     }
 
     @Benchmark
     public void request() {
         String id = "r" + asked++;
         gateway.ask(id, "read");
-        gateway.end(id, 0, Gateway.Outcome.OK, 5);
+        gateway.end(id, 0, EngineApi.Outcome.OK, 5);
         gateway.now += STEP_MS;
         if (asked % BEAT_EVERY == 0) {
-            gateway.brain.timer(gateway.now, "beat");
+            gateway.engine.onTimer(gateway.now, "beat");
         }
         if (asked % NOTES_MAX == 0) {
             gateway.sent.clear();
--- a/gateway/src/test/java/marlford/gateway/DecisionsTest.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionsTest.java
@@ -11,8 +11,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import marlford.gateway.Gateway.*;
-import marlford.gateway.State.ClassState;
+import marlford.gateway.EngineApi.*;
+import marlford.gateway.EngineState.ClassState;
 import org.junit.jupiter.api.Test;
 
 /** Release, weights, host health, determinism and the module's size. */
@@ -28,7 +28,7 @@
     }
 
     private static void askLate(FakeGateway g, String id, double waited, int spread, long customer) {
-        g.brain.request(g.now, new Request(id, g.now + 3000 - waited, g.now - waited, false, "read", customer, "small",
+        g.engine.onRequest(g.now, new Request(id, g.now + 3000 - waited, g.now - waited, false, "read", customer, "small",
                 1, 0, spread));
     }
 
@@ -50,18 +50,18 @@
         for (int i = 0; i < 20; i++) {
             g.ask("s" + i, "read");
             g.now += 900; // no beat comes: the answer stands unread
-            g.end("s" + i, 0, Gateway.Outcome.OK, 900);
+            g.end("s" + i, 0, EngineApi.Outcome.OK, 900);
             g.pass(40);
         }
-        g.brain.request(g.now, new Gateway.Request("late", g.now + 2850, g.now - 150, false, "read", 1, "free", 1, 0, 1));
+        g.engine.onRequest(g.now, new EngineApi.Request("late", g.now + 2850, g.now - 150, false, "read", 1, "free", 1, 0, 1));
         assertEquals(1, g.sends("late"));
-        g.end("late", 0, Gateway.Outcome.OK, 900); // the host's own time, with all beats: this is learnt
+        g.end("late", 0, EngineApi.Outcome.OK, 900); // the host's own time, with all beats: this is learnt
         for (int i = 0; i < 20; i++) {
             g.ask("t" + i, "read");
             g.pass(900);
-            g.end("t" + i, 0, Gateway.Outcome.OK, 900);
+            g.end("t" + i, 0, EngineApi.Outcome.OK, 900);
         }
-        g.brain.request(g.now, new Gateway.Request("slow", g.now + 2850, g.now - 150, false, "read", 1, "free", 1, 0, 1));
+        g.engine.onRequest(g.now, new EngineApi.Request("slow", g.now + 2850, g.now - 150, false, "read", 1, "free", 1, 0, 1));
         assertEquals(List.of("slow"), g.refused);
     }
 
@@ -70,7 +70,7 @@
     void aLateLoopAsksNoKeeperAndBlamesNone() {
         long theirs = 1;
         FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
-        while (State.ranked(theirs, 0, 2, 2, 1)[0] == 0) {
+        while (EngineState.ranked(theirs, 0, 2, 2, 1)[0] == 0) {
             theirs++;
         }
         g.pass(100); // timers run, and messages have their gap
@@ -79,7 +79,7 @@
         askLate(g, "late", 200, 2, theirs);
         assertEquals(1, g.sends("late"));
         g.now += 400; // a stall: the answer may stand unread
-        g.brain.timer(g.now, "beat");
+        g.engine.onTimer(g.now, "beat");
         assertEquals(0, g.sends("asks") + g.answers("asks"));
         g.pass(500); // on time again, and no answer
         assertEquals(1, g.sends("asks") + g.answers("asks"));
@@ -90,7 +90,7 @@
         ClassState slow = state(FakeGateway.READ, 0.3, 1500, 2000);
         ClassState easy = state(FakeGateway.PAY, 0.4, 100, 2000);
         ClassState idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
-        assertTrue(Brain.donate(List.of(slow, easy, idle)));
+        assertTrue(DecisionEngine.donate(List.of(slow, easy, idle)));
         assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
         assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
         assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "gives by surplus");
@@ -100,8 +100,8 @@
     void donationIsClampedToWhatKeepsTheDonorContent() {
         ClassState slow = state(FakeGateway.READ, 0.5, 60_000, 100);
         ClassState donor = state(FakeGateway.PAY, 0.5, 500, 1000);
-        Brain.donate(List.of(slow, donor));
-        double clamp = (0.9 * Brain.goal(donor) - 500) / 1000;
+        DecisionEngine.donate(List.of(slow, donor));
+        double clamp = (0.9 * DecisionEngine.goal(donor) - 500) / 1000;
         assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
     }
 
@@ -109,11 +109,11 @@
     void weightsStayPositiveAndFreezeWhenAllSuffer() {
         ClassState a = state(FakeGateway.READ, 0.03, 10, 0.0001);
         ClassState b = state(FakeGateway.PAY, 0.97, 9000, 10);
-        Brain.donate(List.of(a, b));
+        DecisionEngine.donate(List.of(a, b));
         assertTrue(a.weight > 0);
         ClassState c = state(FakeGateway.READ, 0.5, 5000, 10);
         ClassState d = state(FakeGateway.PAY, 0.5, 9000, 10);
-        assertFalse(Brain.donate(List.of(c, d)));
+        assertFalse(DecisionEngine.donate(List.of(c, d)));
         assertEquals(0.5, c.weight);
     }
 
@@ -122,11 +122,11 @@
         ClassState c = state(FakeGateway.READ, 0.5, 800, 1234);
         c.markWeight = 0.4;
         c.markDelay = 700; // more weight, more delay: the wrong sign
-        Brain.measureSlope(c);
+        DecisionEngine.measureSlope(c);
         assertEquals(1234, c.slope);
         c.weight = 0.6;
         c.delay = 500;
-        Brain.measureSlope(c);
+        DecisionEngine.measureSlope(c);
         assertEquals(3000, c.slope, 1e-6);
     }
 
@@ -216,7 +216,7 @@
         int total = 0;
         for (int me = 0; me < 300; me++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me));
-            g.brain.hosts(g.now, ListKind.FULL, hosts);
+            g.engine.onHosts(g.now, ListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
                 g.ask("r" + i, "read");
             }
@@ -336,8 +336,8 @@
         int places = fill(g);
         assertTrue(places > 0);
         for (int i = 0; i < places; i++) {
-            g.brain.streamStarted(g.now, "f" + i, 0);
-            g.brain.streamStarted(g.now, "f" + i, 0); // told twice it frees no second place
+            g.engine.onStreamStarted(g.now, "f" + i, 0);
+            g.engine.onStreamStarted(g.now, "f" + i, 0); // told twice it frees no second place
         }
         int before = g.sent.size();
         for (int i = 0; i < 3 * places; i++) {
@@ -355,7 +355,7 @@
     void bodiesOnTheirWayHoldNoPlace() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         for (int i = 0; i < 50; i++) {
-            g.brain.request(g.now, new Gateway.Request("b" + i, g.now + 9000, g.now, false, "order", 1, "free", 1, 0, 1,
+            g.engine.onRequest(g.now, new EngineApi.Request("b" + i, g.now + 9000, g.now, false, "order", 1, "free", 1, 0, 1,
                     5000));
         }
         assertEquals(50, g.sent.size());
@@ -371,7 +371,7 @@
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
         g.ask("turned", "read");
         String drains = g.hostOf("turned");
-        g.end("turned", 0, Gateway.Outcome.FULL, 2);
+        g.end("turned", 0, EngineApi.Outcome.FULL, 2);
         for (int i = 0; i < 4; i++) {
             g.ask("next" + i, "read");
             assertNotEquals(drains, g.hostOf("next" + i));
@@ -380,9 +380,9 @@
 
     @Test
     void theModuleStaysWithinItsSize() throws IOException {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/marlford/gateway/Brain.java"));
+        List<String> lines = Files.readAllLines(Path.of("src/main/java/marlford/gateway/DecisionEngine.java"));
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() < MODULE_LINES);
         assertEquals(List.of(), lines.stream().filter(l -> l.length() > 110).toList());
-        assertTrue(lines.stream().limit(40).anyMatch(l -> l.contains("Gateway.java")));
+        assertTrue(lines.stream().limit(40).anyMatch(l -> l.contains("EngineApi.java")));
     }
 }
--- a/gateway/src/test/java/marlford/gateway/FakeGateway.java
+++ b/gateway/src/test/java/marlford/gateway/FakeGateway.java
@@ -4,9 +4,9 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
-import marlford.gateway.Gateway.*;
+import marlford.gateway.EngineApi.*;
 
-/** A clock and a notebook: plays events into one Brain and keeps what it does. */
+/** A clock and a notebook: plays events into one DecisionEngine and keeps what it does. */
 final class FakeGateway implements Actions {
     static final RequestClass READ = new RequestClass("read", Effect.REPEATABLE, Scope.ALL, 0, 1000, 3000, 1, 0, false);
     static final RequestClass PAY = new RequestClass("pay", Effect.ONCE, Scope.ALL, 0, 1000, 3000, 3, 0, false);
@@ -30,7 +30,7 @@
     final List<String> probed = new ArrayList<>();
     final List<Told> told = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    final Brain brain = new Brain(this);
+    final DecisionEngine engine = new DecisionEngine(this);
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingInt(Timer::order));
     private int order;
@@ -38,7 +38,7 @@
 
     FakeGateway(double now, Settings settings) {
         this.now = now;
-        brain.start(now, settings);
+        engine.onStart(now, settings);
     }
 
     static Settings settings(int me, int gateways) {
@@ -66,12 +66,12 @@
         for (String id : ids) {
             hosts.add(host(id, id.substring(0, 1)));
         }
-        brain.hosts(now, ListKind.FULL, hosts);
+        engine.onHosts(now, ListKind.FULL, hosts);
         return this;
     }
 
     void ask(String id, String cls, String plan, long customer, double units, int spread) {
-        brain.request(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
+        engine.onRequest(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
     }
 
     void ask(String id, String cls) {
@@ -79,7 +79,7 @@
     }
 
     void end(String id, int attempt, Outcome outcome, double latency) {
-        brain.attemptEnded(now, new AttemptResult(id, attempt, hostOf(id), outcome, latency,
+        engine.onAttemptEnded(now, new AttemptResult(id, attempt, hostOf(id), outcome, latency,
                 outcome == Outcome.OK, 0, 0, new double[0]));
     }
 
@@ -99,7 +99,7 @@
         while (!timers.isEmpty() && timers.peek().at() <= end) {
             Timer t = timers.poll();
             now = Math.max(now, t.at());
-            brain.timer(now, t.token());
+            engine.onTimer(now, t.token());
         }
         now = end;
     }
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
+    public void startTimer(double delayMs, String token) {
         timers.add(new Timer(now + delayMs, order++, token));
     }
 
@@ -144,13 +144,13 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         told.add(new Told(peer, data));
         log.add(now + " tell " + peer + " " + data.length);
     }
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {
+    public void addToCounter(String counter, double amount, double lifetimeMs) {
         log.add(now + " count " + counter);
     }
 
--- a/gateway/src/test/java/marlford/gateway/GuardsTest.java
+++ b/gateway/src/test/java/marlford/gateway/GuardsTest.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.LongStream;
-import marlford.gateway.Gateway.*;
+import marlford.gateway.EngineApi.*;
 import org.junit.jupiter.api.Test;
 
 /** The five rules, each on one gateway alone. */
@@ -25,7 +25,7 @@
     void aTryThatComesWithNoTimeLeftIsAnsweredAtOnce() {
         // port-louis rules-3: a late retry was held until the next beat, after its deadline
         FakeGateway g = FakeGateway.alone();
-        g.brain.request(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
+        g.engine.onRequest(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
         assertEquals(1, g.answers("r"));
     }
 
@@ -46,7 +46,7 @@
     void nothingIsSentAfterTheClientLeft() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "read");
-        g.brain.clientLeft(g.now, "r");
+        g.engine.onClientLeft(g.now, "r");
         g.withHosts("a1");
         g.pass(3000);
         assertEquals(0, g.sends("r"));
@@ -95,7 +95,7 @@
     void drainedAndGoneHostsGetNothingNew() {
         for (HostState state : List.of(HostState.DRAINING, HostState.GONE)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.brain.hosts(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
+            g.engine.onHosts(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
             for (int i = 0; i < 6; i++) {
                 g.ask("r" + i, "read");
             }
@@ -112,7 +112,7 @@
         for (int i = 0; i < 100; i++) {
             steady(g, i);
         }
-        g.brain.hosts(g.now, ListKind.CHANGES,
+        g.engine.onHosts(g.now, ListKind.CHANGES,
                 List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
         int before = g.sent.size();
         for (int i = 100; i < 150; i++) {
@@ -130,7 +130,7 @@
         for (String id : List.of("c1", "c2", "c3", "c4")) {
             hosts.add(new Host(id, "a", "std", 0, HostState.RUNNING, 1, g.now - coldForMs));
         }
-        g.brain.hosts(g.now, ListKind.FULL, hosts);
+        g.engine.onHosts(g.now, ListKind.FULL, hosts);
         for (int i = 0; i < 200; i++) {
             g.ask("q" + i, "read");
         }
@@ -165,7 +165,7 @@
 
     @Test
     void theCeilingIsAnEvenPartAndARestartBringsNoBurst() {
-        int me = State.ranked(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
+        int me = EngineState.ranked(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
         double spent = 0;
         for (int life = 0; life < 4; life++) {
             FakeGateway g = new FakeGateway(1000 + life * 500, FakeGateway.settings(me, 2)).withHosts("a1", "a2");
@@ -182,12 +182,12 @@
     @Test
     void eventsForWhatIsNotHeldArePassedOver() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
-        g.brain.attemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
-        g.brain.clientLeft(g.now, "x");
-        g.brain.timer(g.now, "x");
-        g.brain.probed(g.now, "x", Outcome.OK, 1, new double[0]);
-        g.brain.streamStarted(g.now, "x", 0);
-        g.brain.peerSaid(g.now, 5, new byte[] {1});
+        g.engine.onAttemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
+        g.engine.onClientLeft(g.now, "x");
+        g.engine.onTimer(g.now, "x");
+        g.engine.onProbeResult(g.now, "x", Outcome.OK, 1, new double[0]);
+        g.engine.onStreamStarted(g.now, "x", 0);
+        g.engine.onPeerMessage(g.now, 5, new byte[] {1});
         g.ask("r", "read");
         g.end("r", 7, Outcome.OK, 1);
         g.end("r", 0, Outcome.OK, 1);
--- a/gateway/src/test/java/marlford/gateway/HostStartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/HostStartsTest.java
@@ -5,9 +5,9 @@
 
 import java.util.List;
 import java.util.stream.Stream;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
--- a/gateway/src/test/java/marlford/gateway/HouseTest.java
+++ b/gateway/src/test/java/marlford/gateway/HouseTest.java
@@ -12,7 +12,7 @@
 
 /** The floors of the house: decisions and the pure modules see no socket, no file and no clock, and nothing above them. */
 class HouseTest {
-    private static final String[] PURE = {"marlford.gateway.account", "marlford.gateway.end", "marlford.gateway.frame",
+    private static final String[] PURE = {"marlford.gateway.metrics", "marlford.gateway.shutdown", "marlford.gateway.frame",
             "marlford.gateway.gossip", "marlford.gateway.guard", "marlford.gateway.lease", "marlford.gateway.list",
             "marlford.gateway.quota"};
     private static final String[] OUTSIDE = {"java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
@@ -39,7 +39,7 @@
     @Test
     void decisionsStandOnPureModulesAlone() {
         classes().that().resideInAPackage("marlford.gateway").and().doNotHaveSimpleName("Main").should()
-                .onlyDependOnClassesThat().resideInAnyPackage("marlford.gateway", "marlford.gateway.account",
+                .onlyDependOnClassesThat().resideInAnyPackage("marlford.gateway", "marlford.gateway.metrics",
                         "marlford.gateway.frame", "marlford.gateway.gossip", "marlford.gateway.lease", "marlford.gateway.quota",
                         "java.lang..", "java.util", "java.util.function", "java.util.stream", "java.util.zip", "java.nio").check(ALL);
         askNoClock("marlford.gateway").check(ALL);
@@ -48,7 +48,7 @@
     @Test
     void theQuotaModuleStandsAlone() {
         noClasses().that().resideInAPackage("marlford.gateway.quota").should().dependOnClassesThat()
-                .resideInAnyPackage("marlford.gateway", "marlford.gateway.account", "marlford.gateway.net",
+                .resideInAnyPackage("marlford.gateway", "marlford.gateway.metrics", "marlford.gateway.net",
                         "marlford.gateway.gossip").check(ALL);
     }
 
--- a/gateway/src/test/java/marlford/gateway/HundredsTest.java
+++ b/gateway/src/test/java/marlford/gateway/HundredsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import marlford.gateway.quota.Talk;
+import marlford.gateway.quota.QuotaMessage;
 import org.junit.jupiter.api.Test;
 
 /** One gateway of a hundred: what the module does with what the keepers of books say, or do not say. */
@@ -21,22 +21,22 @@
         g.ask(id, "read", plan, customer, 2, GATEWAYS);
     }
 
-    private Stream<Talk.Item> said() {
-        return g.told.stream().flatMap(t -> Talk.read(t.data()).items().stream());
+    private Stream<QuotaMessage.Item> said() {
+        return g.told.stream().flatMap(t -> QuotaMessage.read(t.data()).items().stream());
     }
 
-    private Talk.Ask asked(int which) {
-        return said().filter(i -> i instanceof Talk.Ask).map(i -> (Talk.Ask) i).toList().get(which);
+    private QuotaMessage.Ask asked(int which) {
+        return said().filter(i -> i instanceof QuotaMessage.Ask).map(i -> (QuotaMessage.Ask) i).toList().get(which);
     }
 
     /** The keeper of that gateway's latest message, a question, answers it. */
-    private static Talk.Ask answer(FakeGateway asker, Talk.Verdict verdict, int count) {
+    private static QuotaMessage.Ask answer(FakeGateway asker, QuotaMessage.Verdict verdict, int count) {
         FakeGateway.Told last = asker.told.get(asker.told.size() - 1);
-        Talk talk = Talk.read(last.data());
-        Talk.Ask ask = assertInstanceOf(Talk.Ask.class, talk.items().get(0));
-        Talk.Answer answer = new Talk.Answer(ask.serial(), verdict, 0.2, 3, false);
-        asker.brain.peerSaid(asker.now, last.peer(),
-                new Talk(500, talk.life() & 0xffff, count, List.of(answer)).bytes());
+        QuotaMessage message = QuotaMessage.read(last.data());
+        QuotaMessage.Ask ask = assertInstanceOf(QuotaMessage.Ask.class, message.items().get(0));
+        QuotaMessage.Answer answer = new QuotaMessage.Answer(ask.serial(), verdict, 0.2, 3, false);
+        asker.engine.onPeerMessage(asker.now, last.peer(),
+                new QuotaMessage(500, message.life() & 0xffff, count, List.of(answer)).bytes());
         return ask;
     }
 
@@ -45,7 +45,7 @@
         ask("r", "small", 7);
         assertEquals(1, g.told.size());
         assertEquals(List.of(), g.sent);
-        answer(g, Talk.Verdict.GRANTED, 1);
+        answer(g, QuotaMessage.Verdict.GRANTED, 1);
         assertEquals(1, g.sends("r"));
         assertEquals(1, g.told.size(), "nothing is told of a use that the keeper has booked");
     }
@@ -53,7 +53,7 @@
     @Test
     void whatTheKeeperHasNotIsRefusedAtOnceAndIsNotAskedForAgain() {
         ask("r", "small", 7);
-        answer(g, Talk.Verdict.STORE, 1);
+        answer(g, QuotaMessage.Verdict.STORE, 1);
         assertEquals(List.of("r"), g.refused);
         int told = g.told.size();
         g.ask("s", "read", "small", 7, 4, GATEWAYS);
@@ -70,9 +70,9 @@
         g.pass(12 * ANSWER_MS);
         assertEquals(1, g.sends("r"), "nobody answers: the store was last known to be full");
         assertEquals(0, g.answers("r"));
-        g.end("r", 0, Gateway.Outcome.OK, 20);
+        g.end("r", 0, EngineApi.Outcome.OK, 20);
         g.pass(1000);
-        assertTrue(said().anyMatch(i -> i instanceof Talk.Presence), "who was silent is asked for a sign of life");
+        assertTrue(said().anyMatch(i -> i instanceof QuotaMessage.Presence), "who was silent is asked for a sign of life");
     }
 
     /** Units of a ceiling are good for 400 ms: where no host is to be had by then it is refused, the quota's go back. */
@@ -80,13 +80,13 @@
     void unitsOfACeilingThatCannotBeUsedInTimeGoBack() {
         FakeGateway bare = new FakeGateway(1000, FakeGateway.settings(0, GATEWAYS));
         bare.ask("r", "read", "capped", 7, 2, GATEWAYS);
-        Talk.Ask ask = answer(bare, Talk.Verdict.GRANTED, 1);
+        QuotaMessage.Ask ask = answer(bare, QuotaMessage.Verdict.GRANTED, 1);
         bare.pass(300);
         assertEquals(0, bare.answers("r"));
         bare.pass(140);
         assertEquals(List.of("r"), bare.refused);
         assertTrue(bare.told.stream().anyMatch(
-                t -> Talk.read(t.data()).items().contains(new Talk.Back(ask.serial()))));
+                t -> QuotaMessage.read(t.data()).items().contains(new QuotaMessage.Back(ask.serial()))));
     }
 
     @Test
@@ -95,10 +95,10 @@
             ask("r" + customer, "small", customer); // of some of them this gateway keeps the book
         }
         g.told.clear();
-        g.brain.leaving(g.now);
-        long books = said().filter(i -> i instanceof Talk.Sync).count();
+        g.engine.onShutdown(g.now);
+        long books = said().filter(i -> i instanceof QuotaMessage.Sync).count();
         assertTrue(books >= 1, books + " books");
-        long words = said().filter(i -> i.equals(new Talk.Presence(Talk.State.LEAVES))).count();
+        long words = said().filter(i -> i.equals(new QuotaMessage.Presence(QuotaMessage.State.LEAVES))).count();
         assertEquals(6, words, "to those that may stand in for it");
     }
 
@@ -107,7 +107,7 @@
     void aStallDoesNotOutliveTheUnitsOfACeiling() {
         FakeGateway bare = new FakeGateway(1000, FakeGateway.settings(0, GATEWAYS));
         bare.ask("r", "read", "capped", 7, 2, GATEWAYS);
-        answer(bare, Talk.Verdict.GRANTED, 1);
+        answer(bare, QuotaMessage.Verdict.GRANTED, 1);
         bare.now += 700; // no beat came
         bare.withHosts("a1"); // the list is what it reads first, and sends what is held
         assertEquals(List.of(), bare.sent);
@@ -119,10 +119,10 @@
     @Test
     void aClientThatLeftCostsNothing() {
         ask("r", "small", 7);
-        g.brain.clientLeft(g.now, "r");
-        answer(g, Talk.Verdict.GRANTED, 1);
+        g.engine.onClientLeft(g.now, "r");
+        answer(g, QuotaMessage.Verdict.GRANTED, 1);
         assertEquals(List.of(), g.sent);
-        assertTrue(said().anyMatch(i -> i instanceof Talk.Back));
+        assertTrue(said().anyMatch(i -> i instanceof QuotaMessage.Back));
     }
 
     /**
@@ -136,15 +136,15 @@
         int warm = 0;
         for (int me = 0; me < GATEWAYS; me++) {
             FakeGateway one = new FakeGateway(17_000, FakeGateway.settings(me, GATEWAYS, me)); // it sees the start
-            one.brain.hosts(one.now, Gateway.ListKind.FULL, IntStream.range(0, 60).mapToObj(i -> new Gateway.Host("a" + i, "a",
-                    "std", 0, Gateway.HostState.RUNNING, 1, i % 2 == 0 ? 17_000 : 0)).toList());
+            one.engine.onHosts(one.now, EngineApi.ListKind.FULL, IntStream.range(0, 60).mapToObj(i -> new EngineApi.Host("a" + i, "a",
+                    "std", 0, EngineApi.HostState.RUNNING, 1, i % 2 == 0 ? 17_000 : 0)).toList());
             one.pass(3000);
             for (int i = 0; i < 10; i++) {
                 one.ask("r" + i, "read");
                 one.ask("s" + i, "read");
                 one.pass(150);
-                one.end("r" + i, 0, Gateway.Outcome.OK, 150);
-                one.end("s" + i, 0, Gateway.Outcome.OK, 150);
+                one.end("r" + i, 0, EngineApi.Outcome.OK, 150);
+                one.end("s" + i, 0, EngineApi.Outcome.OK, 150);
             }
             cold += (int) one.sent.stream().filter(s -> Integer.parseInt(s.host().substring(1)) % 2 == 0).count();
             warm += one.sent.size();
--- a/gateway/src/test/java/marlford/gateway/LargeTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/LargeTierTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.IntSupplier;
-import marlford.gateway.gossip.UseMessage;
+import marlford.gateway.gossip.UsageMessage;
 import org.junit.jupiter.api.Test;
 
 /** Fourteen gateways over a lossy link that takes in only so many messages a second: quotas without questions. */
@@ -63,7 +63,7 @@
         String id = "r" + asked++;
         units.put(id, amount);
         FakeGateway g = all.get(gateway);
-        g.brain.request(g.now, new Gateway.Request(id, g.now + 3000, g.now, false, "read", customer, plan, amount,
+        g.engine.onRequest(g.now, new EngineApi.Request(id, g.now + 3000, g.now, false, "read", customer, plan, amount,
                 first, WIDE));
     }
 
@@ -86,7 +86,7 @@
                 if (answered.add(s.id())) {
                     letIn.merge(0L, units.get(s.id()), Double::sum);
                     passed(s.at(), units.get(s.id()));
-                    g.end(s.id(), 0, Gateway.Outcome.OK, 5);
+                    g.end(s.id(), 0, EngineApi.Outcome.OK, 5);
                 }
             }
         }
@@ -102,7 +102,7 @@
         } else if (random.nextDouble() >= LOSS) {
             heard++;
             recent.add(now());
-            all.get(to).brain.peerSaid(now(), from, data);
+            all.get(to).engine.onPeerMessage(now(), from, data);
         }
     }
 
@@ -164,8 +164,8 @@
         assertTrue(lowest <= 30, "and was used at all: " + lowest);
     }
 
-    private static byte[] used(int life, int count, UseMessage.Entry entry) {
-        return new UseMessage(life, count, List.of(entry), List.of(), List.of()).bytes();
+    private static byte[] used(int life, int count, UsageMessage.Entry entry) {
+        return new UsageMessage(life, count, List.of(entry), List.of(), List.of()).bytes();
     }
 
     private long refused() {
@@ -215,10 +215,10 @@
     void aReturnDoesNotChargeWhatWasUsedBeforeIt() {
         FakeGateway g = all.get(0);
         g.pass(3000);
-        UseMessage.Entry use = new UseMessage.Entry(7, 0, UseMessage.usedField(400), 1, 0.75);
-        g.brain.peerSaid(g.now, 3, used(500, 9, use)); // a life that began before this one
-        UseMessage.Entry young = new UseMessage.Entry(7, 0, UseMessage.usedField(5), 1, 1);
-        g.brain.peerSaid(g.now, 4, used(2500, 1, young)); // and one after it
+        UsageMessage.Entry use = new UsageMessage.Entry(7, 0, UsageMessage.usedField(400), 1, 0.75);
+        g.engine.onPeerMessage(g.now, 3, used(500, 9, use)); // a life that began before this one
+        UsageMessage.Entry young = new UsageMessage.Entry(7, 0, UsageMessage.usedField(5), 1, 1);
+        g.engine.onPeerMessage(g.now, 4, used(2500, 1, young)); // and one after it
         for (int i = 0; i < 12; i++) { // 12 units of burst, a quarter gone when first heard of, then five more
             g.ask("q" + i, "read", "small", 7, 1, WIDE);
         }
@@ -229,20 +229,20 @@
     @Test
     void whatIsNoMessageOfAPeerIsIgnored() {
         FakeGateway g = all.get(0);
-        byte[] good = used(1500, 1, new UseMessage.Entry(7, 0, UseMessage.usedField(9), 1, 1));
-        byte[] otherPlan = used(1500, 2, new UseMessage.Entry(7, 99, UseMessage.usedField(9), 1, 0));
+        byte[] good = used(1500, 1, new UsageMessage.Entry(7, 0, UsageMessage.usedField(9), 1, 1));
+        byte[] otherPlan = used(1500, 2, new UsageMessage.Entry(7, 99, UsageMessage.usedField(9), 1, 0));
         g.pass(2000); // it learns no more
-        g.brain.peerSaid(g.now, 3, good);
-        g.brain.peerSaid(g.now, 3, good); // replayed
-        g.brain.peerSaid(g.now, 3, Arrays.copyOf(good, good.length - 1));
-        g.brain.peerSaid(g.now, 3, Arrays.copyOf(good, 300));
-        g.brain.peerSaid(g.now, 3, new byte[0]);
-        g.brain.peerSaid(g.now, 3, otherPlan);
-        g.brain.peerSaid(g.now, 0, good); // from itself
-        g.brain.peerSaid(g.now, 77, good); // from a stranger
+        g.engine.onPeerMessage(g.now, 3, good);
+        g.engine.onPeerMessage(g.now, 3, good); // replayed
+        g.engine.onPeerMessage(g.now, 3, Arrays.copyOf(good, good.length - 1));
+        g.engine.onPeerMessage(g.now, 3, Arrays.copyOf(good, 300));
+        g.engine.onPeerMessage(g.now, 3, new byte[0]);
+        g.engine.onPeerMessage(g.now, 3, otherPlan);
+        g.engine.onPeerMessage(g.now, 0, good); // from itself
+        g.engine.onPeerMessage(g.now, 77, good); // from a stranger
         byte[] damaged = good.clone();
         damaged[damaged.length - 1]++;
-        g.brain.peerSaid(g.now, 4, damaged);
+        g.engine.onPeerMessage(g.now, 4, damaged);
         for (int i = 0; i < 12; i++) { // 12 units of burst less the 9 that a peer let in
             g.ask("q" + i, "read", "small", 7, 1, WIDE);
         }
--- a/gateway/src/test/java/marlford/gateway/PartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/PartsTest.java
@@ -43,7 +43,7 @@
                         continue;
                     }
                     for (int copy = 0; copy < (repeating ? 2 : 1); copy++) {
-                        all.get(t.peer()).brain.peerSaid(all.get(t.peer()).now, from, t.data());
+                        all.get(t.peer()).engine.onPeerMessage(all.get(t.peer()).now, from, t.data());
                     }
                 }
             }
@@ -62,7 +62,7 @@
         for (FakeGateway.Sent s : List.copyOf(g.sent)) {
             if (ended.add(s.id())) {
                 letIn += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
-                g.end(s.id(), 0, Gateway.Outcome.OK, 5);
+                g.end(s.id(), 0, EngineApi.Outcome.OK, 5);
             }
         }
     }
@@ -150,7 +150,7 @@
         gateways(60);
         pass(100);
         flood(4, 5, 6, 7);
-        int keeper = State.ranked(42, 0, 60, 60, 2)[0];
+        int keeper = EngineState.ranked(42, 0, 60, 60, 2)[0];
         double now = all.get(keeper).now;
         all.set(keeper, new FakeGateway(now, FakeGateway.settings(keeper, 60)).withHosts("a1", "a2", "a3"));
         double after = flood(4, 5, 6, 7);
@@ -160,24 +160,24 @@
     @Test
     void aTellIsTakenOnceAndOnlyFromASetThatCanBe() {
         gateways(3);
-        int keeper = State.ranked(42, 0, 3, 3, 2)[0];
+        int keeper = EngineState.ranked(42, 0, 3, 3, 2)[0];
         int member = keeper == 0 ? 1 : 0;
         FakeGateway g = all.get(keeper);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
-            Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
-            g.brain.peerSaid(g.now, member, new Tell(500, 0, 1 + set[1], 0, List.of(e)).bytes());
+            LedgerMessage.Entry e = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
+            g.engine.onPeerMessage(g.now, member, new LedgerMessage(500, 0, 1 + set[1], 0, List.of(e)).bytes());
         }
-        Tell.Entry plan = new Tell.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
-        g.brain.peerSaid(g.now, member, new Tell(600, 0, 1, 0, List.of(plan)).bytes());
+        LedgerMessage.Entry plan = new LedgerMessage.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
+        g.engine.onPeerMessage(g.now, member, new LedgerMessage(600, 0, 1, 0, List.of(plan)).bytes());
         g.pass(100);
         assertTrue(g.told.isEmpty());
-        Tell.Entry good = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
-        byte[] once = new Tell(700, 0, 1, 0, List.of(good)).bytes();
-        g.brain.peerSaid(g.now, member, once);
-        g.brain.peerSaid(g.now, member, once);
+        LedgerMessage.Entry good = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
+        byte[] once = new LedgerMessage(700, 0, 1, 0, List.of(good)).bytes();
+        g.engine.onPeerMessage(g.now, member, once);
+        g.engine.onPeerMessage(g.now, member, once);
         g.pass(100);
-        Tell.Entry answer = g.told.stream().flatMap(t -> Tell.read(t.data()).entries().stream())
-                .filter(Tell.Entry::answer).findFirst().orElseThrow();
+        LedgerMessage.Entry answer = g.told.stream().flatMap(t -> LedgerMessage.read(t.data()).entries().stream())
+                .filter(LedgerMessage.Entry::answer).findFirst().orElseThrow();
         assertEquals(4, answer.want());
         assertEquals(8.0 / 12, answer.fullness(), 0.05);
     }
@@ -185,14 +185,14 @@
     @Test
     void runningTotalsRunOverTheEndsOfTheirFields() {
         double far = (1L << 31) / 16.0;
-        assertEquals(3, Tell.ahead(far + 1, far - 2));
-        assertTrue(Tell.after(2, 65_534) && !Tell.after(65_534, 2));
+        assertEquals(3, LedgerMessage.ahead(far + 1, far - 2));
+        assertTrue(LedgerMessage.after(2, 65_534) && !LedgerMessage.after(65_534, 2));
     }
 
     @Test
     void withItsKeepersSilentAGatewayHasTheEvenSplit() {
         gateways(4);
-        int[] keepers = State.ranked(42, 0, 4, 4, 2);
+        int[] keepers = EngineState.ranked(42, 0, 4, 4, 2);
         int member = IntStream.range(0, 4).filter(g -> g != keepers[0] && g != keepers[1]).findFirst().orElseThrow();
         cut = true;
         pass(4000);
@@ -215,22 +215,22 @@
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 0x10;
-            assertNull(Tell.read(bad), "byte " + i);
+            assertNull(LedgerMessage.read(bad), "byte " + i);
         }
-        assertNull(Tell.read(java.util.Arrays.copyOf(good, good.length - 1)));
-        assertNull(Tell.read(new byte[0]));
-        assertNotNull(Tell.read(good));
+        assertNull(LedgerMessage.read(java.util.Arrays.copyOf(good, good.length - 1)));
+        assertNull(LedgerMessage.read(new byte[0]));
+        assertNotNull(LedgerMessage.read(good));
     }
 
     @Test
     void aTellKeepsWhatItSays() {
         long customer = 4569004829183723L % (1L << 33);
-        Tell.Entry tell = new Tell.Entry(false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5,
+        LedgerMessage.Entry tell = new LedgerMessage.Entry(false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5,
                 -0.5, 300, 0);
-        Tell.Entry answer = new Tell.Entry(true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5,
+        LedgerMessage.Entry answer = new LedgerMessage.Entry(true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5,
                 0.25, 4, 70_000.5);
-        Tell said = new Tell(-5, 9, 65_535, 0, List.of(tell, answer));
-        assertEquals(said, Tell.read(said.bytes()));
+        LedgerMessage said = new LedgerMessage(-5, 9, 65_535, 0, List.of(tell, answer));
+        assertEquals(said, LedgerMessage.read(said.bytes()));
     }
 
     @Test
@@ -251,7 +251,7 @@
     @Test
     void theSecondKeeperHasAPartOfTheFirstsCeilingInItsSilence() {
         gateways(3);
-        int[] keepers = State.ranked(42, 0, 3, 3, 2);
+        int[] keepers = EngineState.ranked(42, 0, 3, 3, 2);
         floodCapped(3, keepers[0], keepers[1]);
         silent = keepers[0];
         double alone = floodCapped(10, keepers[1]);
@@ -298,7 +298,7 @@
         gateways(1);
         FakeGateway old = all.get(0);
         pass(5000); // its ceiling is full
-        old.brain.replaced(old.now);
+        old.engine.onReplaced(old.now);
         double before = letIn;
         floodCapped(3, 0);
         assertTrue(letIn - before > 40 - 4 && letIn - before <= 40, "of forty saved: " + (letIn - before));
@@ -306,7 +306,7 @@
         floodCapped(1, 0);
         assertEquals(empty, letIn, "nothing fills there");
         pass(3000); // and nobody asks
-        old.brain.restored(old.now);
+        old.engine.onRestored(old.now);
         floodCapped(1, 0);
         assertTrue(letIn - empty <= 20, "filled since it is back: " + (letIn - empty));
         assertTrue(letIn - empty >= 12, "filled since it is back: " + (letIn - empty));
@@ -317,7 +317,7 @@
     void aReplacedGatewayKnowsNoNewCustomersCeiling() {
         gateways(1);
         pass(500);
-        all.get(0).brain.replaced(all.get(0).now);
+        all.get(0).engine.onReplaced(all.get(0).now);
         pass(5000);
         assertTrue(floodCapped(2, 0) <= 10, "half a second of the ceiling");
     }
@@ -335,12 +335,12 @@
                 if (random.nextInt(15) == 0) {
                     int g = random.nextInt(3);
                     if (old[g] != null && random.nextBoolean()) { // the new process is gone
-                        old[g].brain.restored(old[g].now);
+                        old[g].engine.onRestored(old[g].now);
                         all.set(g, old[g]);
                         old[g] = null;
                     } else if (old[g] == null) {
                         old[g] = all.get(g);
-                        old[g].brain.replaced(old[g].now);
+                        old[g].engine.onReplaced(old[g].now);
                         all.set(g, new FakeGateway(old[g].now, FakeGateway.settings(g, 3))
                                 .withHosts("a1", "a2", "a3"));
                     } else {
@@ -375,7 +375,7 @@
             reset();
             gateways(1);
             FakeGateway g = all.get(0);
-            g.brain.aloneSince(g.now, g.now - away);
+            g.engine.onNoOtherSpenderSince(g.now, g.now - away);
             double most = Math.min(40, 20 * away / 1000);
             for (int i = 0; i < 41; i++) {
                 ask(0, "capped", 1);
@@ -403,7 +403,7 @@
                     double now = all.get(silent).now;
                     FakeGateway next = new FakeGateway(now, FakeGateway.settings(silent, 3))
                             .withHosts("a1", "a2", "a3");
-                    next.brain.aloneSince(now, diedAt);
+                    next.engine.onNoOtherSpenderSince(now, diedAt);
                     all.set(silent, next);
                     silent = -1;
                 }
@@ -427,7 +427,7 @@
     @Test
     void savingsDoNotOutliveTheLease() {
         gateways(3);
-        int[] keepers = State.ranked(42, 0, 3, 3, 2);
+        int[] keepers = EngineState.ranked(42, 0, 3, 3, 2);
         floodCapped(3, keepers);
         pass(8000); // all is full again
         silent = keepers[0];
@@ -456,7 +456,7 @@
         }
         assertEquals(2, g.sent.size());
         assertEquals(2, g.refused.size());
-        g.end("o0", 0, Gateway.Outcome.OK, 5);
+        g.end("o0", 0, EngineApi.Outcome.OK, 5);
         g.ask("o9", "read", "open", 5, 1, 1);
         assertEquals(1, g.sends("o9"));
     }
@@ -476,10 +476,10 @@
     @Test
     void aPeersNextLifeIsHeardAlsoWhereItsNumberHasRunOver() {
         FakeGateway g = new FakeGateway(Integer.MAX_VALUE, FakeGateway.settings(0, 2)).withHosts("a1");
-        Tell.Entry e = new Tell.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
+        LedgerMessage.Entry e = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
             int before = g.told.size();
-            g.brain.peerSaid(g.now, 1, new Tell(life, 0, 1, 0, List.of(e)).bytes());
+            g.engine.onPeerMessage(g.now, 1, new LedgerMessage(life, 0, 1, 0, List.of(e)).bytes());
             g.pass(200);
             assertTrue(g.told.size() > before, "no answer to life " + life);
         }
--- a/gateway/src/test/java/marlford/gateway/ProbeEvidenceTest.java
+++ b/gateway/src/test/java/marlford/gateway/ProbeEvidenceTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.EngineApi.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** What probes found, of this gateway or of another, beside what the gateway knows itself. */
@@ -25,16 +25,16 @@
     void aHostThatCanNotBeReachedIsAvoidedBeforeARequestIsLostThere() {
         assertTrue(sentTo("a1", 40) > 8);
         for (int i = 0; i < 4; i++) {
-            g.brain.probed(g.now, "a1", Outcome.CONNECT_FAILED, 0, new double[0]);
+            g.engine.onProbeResult(g.now, "a1", Outcome.CONNECT_FAILED, 0, new double[0]);
             g.pass(100);
         }
-        assertEquals(1, g.brain.avoided(g.now));
+        assertEquals(1, g.engine.avoidedHostCount(g.now));
         assertTrue(sentTo("a1", 20) <= 4);
         for (int i = 0; i < 25; i++) {
-            g.brain.probed(g.now, "a1", Outcome.OK, 5, new double[0]);
+            g.engine.onProbeResult(g.now, "a1", Outcome.OK, 5, new double[0]);
             g.pass(100);
         }
-        assertEquals(0, g.brain.avoided(g.now));
+        assertEquals(0, g.engine.avoidedHostCount(g.now));
         assertTrue(sentTo("a1", 40) > 8);
     }
 
@@ -43,14 +43,14 @@
     void whatIsOlderThanAnOwnAnswerIsPassedOver() {
         sentTo("a1", 40);
         for (int i = 0; i < 10; i++) {
-            g.brain.probed(g.now - 5000, "a1", Outcome.CONNECT_FAILED, 0, new double[0]);
+            g.engine.onProbeResult(g.now - 5000, "a1", Outcome.CONNECT_FAILED, 0, new double[0]);
         }
-        assertEquals(0, g.brain.avoided(g.now));
+        assertEquals(0, g.engine.avoidedHostCount(g.now));
     }
 
     @Test
     void aHostThatNobodyListsIsNoMatter() {
-        g.brain.probed(g.now, "gone", Outcome.CONNECT_FAILED, 0, new double[0]);
-        assertEquals(0, g.brain.avoided(g.now));
+        g.engine.onProbeResult(g.now, "gone", Outcome.CONNECT_FAILED, 0, new double[0]);
+        assertEquals(0, g.engine.avoidedHostCount(g.now));
     }
 }
--- a/gateway/src/test/java/marlford/gateway/SmallTier.java
+++ b/gateway/src/test/java/marlford/gateway/SmallTier.java
@@ -24,7 +24,7 @@
     /** A customer, its stores as they truly are, and through which gateways of its set it comes. */
     private static final class Customer {
         final long number;
-        final Gateway.Plan plan;
+        final EngineApi.Plan plan;
         final int first;
         final int spread;
         final double perSecond;
@@ -33,7 +33,7 @@
         double ceiling;
         double at;
 
-        Customer(long number, Gateway.Plan plan, int first, int spread, double perSecond, double now) {
+        Customer(long number, EngineApi.Plan plan, int first, int spread, double perSecond, double now) {
             this.number = number;
             this.plan = plan;
             this.first = first;
@@ -86,7 +86,7 @@
     static SmallTier tier(int gateways, double loss, long seed) {
         SmallTier t = new SmallTier(gateways, loss, seed);
         for (int i = 0; i < 8 * gateways; i++) {
-            Gateway.Plan plan = i % 4 == 0 ? FakeGateway.CAPPED : FakeGateway.SMALL;
+            EngineApi.Plan plan = i % 4 == 0 ? FakeGateway.CAPPED : FakeGateway.SMALL;
             double rate = i % 4 == 0 ? plan.ceilingRate() : plan.rate();
             double share = i % 10 == 0 ? 3 : i % 5 == 0 ? 0.95 : 0.45;
             t.customers.add(new Customer(i + 1, plan, t.random.nextInt(gateways), Math.min(gateways, 4), share * rate, t.now));
@@ -112,7 +112,7 @@
             if (g != null) {
                 String id = "r" + serial++;
                 asked.put(id, new Asked(c, units));
-                g.brain.request(g.now, new Gateway.Request(id, g.now + 3000, g.now, false, "read", c.number,
+                g.engine.onRequest(g.now, new EngineApi.Request(id, g.now + 3000, g.now, false, "read", c.number,
                         c.plan.name(), units, c.first, c.spread));
                 return;
             }
@@ -134,7 +134,7 @@
                 Mail m = mail.poll();
                 if (all[m.to()] != null && room[m.to()] >= 1) {
                     room[m.to()]--;
-                    all[m.to()].brain.peerSaid(now, m.from(), m.data());
+                    all[m.to()].engine.onPeerMessage(now, m.from(), m.data());
                 }
             }
             for (Customer c : customers) {
@@ -170,7 +170,7 @@
         }
         ArrayDeque<FakeGateway.Sent> queue = serving.get(i);
         while (!queue.isEmpty() && queue.peek().at() + SERVES_MS <= now) {
-            g.end(queue.poll().id(), 0, Gateway.Outcome.OK, SERVES_MS);
+            g.end(queue.poll().id(), 0, EngineApi.Outcome.OK, SERVES_MS);
         }
         if (queue.isEmpty()) {
             g.sent.clear();
@@ -196,7 +196,7 @@
 
     /** One gateway says farewell, ends, and comes back knowing nothing. */
     void restart(int gateway, double farewellMs, double awayMs) {
-        all[gateway].brain.leaving(now);
+        all[gateway].engine.onShutdown(now);
         pass(farewellMs);
         all[gateway] = null;
         upAt[gateway] = now + awayMs;
--- a/gateway/src/test/java/marlford/gateway/gossip/RoundsTest.java
+++ b/gateway/src/test/java/marlford/gateway/gossip/GossipSchedulerTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 /** When one speaks to all, of whom, and in what bytes. */
-class RoundsTest {
+class GossipSchedulerTest {
     private static final double GAP_MS = 400;
     private static final Random SEEDS = new Random(5);
 
     @Test
     void whatChangedGoesFirstAndIsRepeatedThreeTimes() {
-        Rounds rounds = new Rounds(0, GAP_MS, 100, new Random(1));
+        GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 100, new Random(1));
         rounds.changed(1);
         rounds.changed(2);
         assertEquals(List.of(1L, 2L), rounds.next(0, 3));
@@ -36,7 +36,7 @@
 
     @Test
     void nobodyIsPassedOverForEverInACrowd() {
-        Rounds rounds = new Rounds(0, GAP_MS, 1000, new Random(1));
+        GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 1000, new Random(1));
         for (long id = 0; id < 100; id++) {
             rounds.changed(id);
         }
@@ -50,7 +50,7 @@
 
     @Test
     void tooManyThatWaitLeaveOutTheFirst() {
-        Rounds rounds = new Rounds(0, GAP_MS, 3, new Random(1));
+        GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 3, new Random(1));
         for (long id = 1; id <= 5; id++) {
             rounds.changed(id);
         }
@@ -62,7 +62,7 @@
     void aTierThatStartedTogetherDoesNotSpeakTogether() {
         List<Double> left = new ArrayList<>();
         for (int gateway = 0; gateway < 14; gateway++) {
-            Rounds rounds = new Rounds(0, GAP_MS, 10, new Random(SEEDS.nextLong()));
+            GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 10, new Random(SEEDS.nextLong()));
             for (double now = 0; now < 20_000; now += 20) {
                 rounds.changed(1);
                 if (rounds.due(now, false)) {
@@ -81,25 +81,25 @@
 
     @Test
     void aMessageSaysWhatItSaid() {
-        List<UseMessage.Entry> entries = new ArrayList<>();
-        for (int i = 0; i < UseMessage.room(0); i++) {
-            entries.add(new UseMessage.Entry(0x1_ffff_ffffL - i, i, UseMessage.usedField(i * 1.5), i, i / 30.0));
+        List<UsageMessage.Entry> entries = new ArrayList<>();
+        for (int i = 0; i < UsageMessage.room(0); i++) {
+            entries.add(new UsageMessage.Entry(0x1_ffff_ffffL - i, i, UsageMessage.usedField(i * 1.5), i, i / 30.0));
         }
-        byte[] data = new UseMessage(-5, 0xffff, entries, List.of(), List.of()).bytes();
-        UseMessage.Want want = new UseMessage.Want(0x1_0000_0007L, 3, 13, 10, 400, 63.75);
-        UseMessage.Gift gift = new UseMessage.Gift(0x1_0000_0007L, 13, 0xffff, 0xfffe, 0.25);
-        UseMessage loans = UseMessage.read(new UseMessage(1, 2, List.of(), List.of(want), List.of(gift)).bytes());
+        byte[] data = new UsageMessage(-5, 0xffff, entries, List.of(), List.of()).bytes();
+        UsageMessage.Want want = new UsageMessage.Want(0x1_0000_0007L, 3, 13, 10, 400, 63.75);
+        UsageMessage.Gift gift = new UsageMessage.Gift(0x1_0000_0007L, 13, 0xffff, 0xfffe, 0.25);
+        UsageMessage loans = UsageMessage.read(new UsageMessage(1, 2, List.of(), List.of(want), List.of(gift)).bytes());
         assertEquals(List.of(want), loans.wants());
         assertEquals(List.of(gift), loans.gifts());
         assertTrue(data.length <= 256);
-        UseMessage read = UseMessage.read(data);
+        UsageMessage read = UsageMessage.read(data);
         assertEquals(-5, read.life());
         assertEquals(0xffff, read.count());
-        for (int i = 0; i < UseMessage.room(0); i++) {
-            UseMessage.Entry e = read.entries().get(i);
+        for (int i = 0; i < UsageMessage.room(0); i++) {
+            UsageMessage.Entry e = read.entries().get(i);
             assertEquals(0x1_ffff_ffffL - i, e.customer());
             assertEquals(i, e.plan());
-            assertEquals(i * 1.5, UseMessage.units(e.used()), 1 / 32.0);
+            assertEquals(i * 1.5, UsageMessage.units(e.used()), 1 / 32.0);
             assertEquals(i, e.demand(), 0.05 * i + 0.01);
             assertEquals(i / 30.0, e.fullness(), 1 / 255.0);
         }
@@ -107,13 +107,13 @@
 
     @Test
     void damageIsSeenAndNothingElseIsThrown() {
-        byte[] good = new UseMessage(5, 1, List.of(new UseMessage.Entry(1, 1, 1, 1, 1)),
-                List.of(new UseMessage.Want(1, 1, 2, 3, 4, 5)), List.of(new UseMessage.Gift(1, 2, 3, 4, 5))).bytes();
+        byte[] good = new UsageMessage(5, 1, List.of(new UsageMessage.Entry(1, 1, 1, 1, 1)),
+                List.of(new UsageMessage.Want(1, 1, 2, 3, 4, 5)), List.of(new UsageMessage.Gift(1, 2, 3, 4, 5))).bytes();
         Random random = new Random(3);
         for (int i = 0; i < good.length * 8; i++) {
             byte[] bad = good.clone();
             bad[i / 8] ^= 1 << i % 8;
-            assertNull(UseMessage.read(bad), "bit " + i);
+            assertNull(UsageMessage.read(bad), "bit " + i);
         }
         for (int length = 0; length < 300; length++) {
             byte[] noise = new byte[length];
@@ -121,16 +121,16 @@
             if (length > 0) {
                 noise[0] = 4;
             }
-            UseMessage.read(noise); // throws nothing, whatever it is
+            UsageMessage.read(noise); // throws nothing, whatever it is
         }
-        UseMessage.Entry one = new UseMessage.Entry(1, 1, 1, 1, 1);
-        UseMessage many = new UseMessage(1, 1, Collections.nCopies(UseMessage.room(0) + 1, one), List.of(), List.of());
+        UsageMessage.Entry one = new UsageMessage.Entry(1, 1, 1, 1, 1);
+        UsageMessage many = new UsageMessage(1, 1, Collections.nCopies(UsageMessage.room(0) + 1, one), List.of(), List.of());
         assertThrows(IllegalArgumentException.class, many::bytes);
     }
 
     @Test
     void totalsRunOverTheEndOfTheirField() {
-        assertEquals(2, UseMessage.ahead(UseMessage.usedField(4097), UseMessage.usedField(4095)));
-        assertTrue(UseMessage.ahead(UseMessage.usedField(1), UseMessage.usedField(5)) < 0);
+        assertEquals(2, UsageMessage.ahead(UsageMessage.usedField(4097), UsageMessage.usedField(4095)));
+        assertTrue(UsageMessage.ahead(UsageMessage.usedField(1), UsageMessage.usedField(5)) < 0);
     }
 }
--- a/gateway/src/test/java/marlford/gateway/lease/LeasesTest.java
+++ b/gateway/src/test/java/marlford/gateway/lease/TwoPartyLeasesTest.java
@@ -8,33 +8,33 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.Random;
-import marlford.gateway.lease.Leases.Terms;
+import marlford.gateway.lease.TwoPartyLeases.Terms;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
 /** Two gateways and a link that loses, delays and reorders: never may both spend what only one of them may. */
-class LeasesTest {
+class TwoPartyLeasesTest {
     private static final Terms TERMS = new Terms(1000, 1200);
     private static final int HOLDER = 0;
     private static final int HEIR = 1;
 
     @Test
     void theHolderHasItOnlyFromAnAnswerOnAndForItsTermFromTheQuestion() {
-        Leases holder = new Leases(TERMS, 2, 0);
-        assertEquals(Leases.NOT, holder.heldSince(0, HEIR));
+        TwoPartyLeases holder = new TwoPartyLeases(TERMS, 2, 0);
+        assertEquals(TwoPartyLeases.NOT, holder.heldSince(0, HEIR));
         holder.told(100, HEIR, 7);
         holder.told(300, HEIR, 8);
         holder.answered(400, HEIR, 6); // what it heard before says nothing of now
-        assertEquals(Leases.NOT, holder.heldSince(400, HEIR));
+        assertEquals(TwoPartyLeases.NOT, holder.heldSince(400, HEIR));
         holder.answered(500, HEIR, 8);
         assertEquals(500, holder.heldSince(1099, HEIR)); // 7 left at 100; that 8 was heard proves no more than that
-        assertEquals(Leases.NOT, holder.heldSince(1100, HEIR));
+        assertEquals(TwoPartyLeases.NOT, holder.heldSince(1100, HEIR));
     }
 
     @Test
     void aTermThatIsRenewedInTimeHasNoBreakAndOneThatRanOutBeginsAnew() {
-        Leases holder = new Leases(TERMS, 2, 0);
+        TwoPartyLeases holder = new TwoPartyLeases(TERMS, 2, 0);
         holder.told(0, HEIR, 0xffff);
         holder.answered(10, HEIR, 0xffff);
         holder.told(900, HEIR, 0); // the count runs over
@@ -47,24 +47,24 @@
 
     @Test
     void theHeirTakesItOnABeatAfterSilenceAndGivesItBackAtTheFirstWord() {
-        Leases heir = new Leases(TERMS, 2, 0);
+        TwoPartyLeases heir = new TwoPartyLeases(TERMS, 2, 0);
         heir.heard(50, HOLDER);
         heir.beat(1250);
-        assertEquals(Leases.NOT, heir.takenSince(HOLDER));
+        assertEquals(TwoPartyLeases.NOT, heir.takenSince(HOLDER));
         heir.beat(1251);
         assertEquals(1251, heir.takenSince(HOLDER));
         heir.beat(1300);
         assertEquals(1251, heir.takenSince(HOLDER));
         heir.heard(1310, HOLDER);
-        assertEquals(Leases.NOT, heir.takenSince(HOLDER));
+        assertEquals(TwoPartyLeases.NOT, heir.takenSince(HOLDER));
     }
 
     @Test
     void aStallOfItsOwnIsNoSilence() {
-        Leases heir = new Leases(TERMS, 2, 0);
+        TwoPartyLeases heir = new TwoPartyLeases(TERMS, 2, 0);
         heir.stalled(5000);
         heir.beat(5000);
-        assertEquals(Leases.NOT, heir.takenSince(HOLDER));
+        assertEquals(TwoPartyLeases.NOT, heir.takenSince(HOLDER));
         heir.beat(6201);
         assertEquals(6201, heir.takenSince(HOLDER));
     }
@@ -82,7 +82,7 @@
     private static final class Side {
         private static final double BEAT_MS = 20;
         private final int peer;
-        private Leases leases;
+        private TwoPartyLeases leases;
         private int life;
         private int count;
         private int heardLife = -1;
@@ -95,7 +95,7 @@
         }
 
         void begin(double now) {
-            leases = new Leases(TERMS, 2, now);
+            leases = new TwoPartyLeases(TERMS, 2, now);
             life++;
             count = 0;
             heardLife = -1;
@@ -187,8 +187,8 @@
                 }
             }
             link = later;
-            boolean has = sides[HOLDER].leases.heldSince(now, HEIR) != Leases.NOT;
-            boolean took = sides[HEIR].leases.takenSince(HOLDER) != Leases.NOT;
+            boolean has = sides[HOLDER].leases.heldSince(now, HEIR) != TwoPartyLeases.NOT;
+            boolean took = sides[HEIR].leases.takenSince(HOLDER) != TwoPartyLeases.NOT;
             assertFalse(has && took, "both have it at " + now);
             held |= has;
             taken |= took;
--- a/gateway/src/test/java/marlford/gateway/list/CallPaceTest.java
+++ b/gateway/src/test/java/marlford/gateway/list/PollingBackoffTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How often a gateway calls discovery, alone and where discovery turns a whole tier away. */
-class CallPaceTest {
+class PollingBackoffTest {
     private static final double MEAN_LOW = 0.5; // of the pace: the shortest wait
     private static final double GRACE_MS = 4000; // of a drain, so long that it bounds no wait
     private static final double LINE_MS = 2000; // that discovery's line lasts
@@ -24,7 +24,7 @@
 
     @Test
     void whereNobodyIsTurnedAwayCallsFollowAtOnce() {
-        CallPace pace = new CallPace(new Random(1), GRACE_MS, true);
+        PollingBackoff pace = new PollingBackoff(new Random(1), GRACE_MS, true);
         assertEquals(0, pace.answered(0));
         assertEquals(4000, pace.holdMs(pace.watchMs(0)));
         assertEquals(4450, pace.watchMs(0));
@@ -40,12 +40,12 @@
 
     @Test
     void refusalsSlowItDownAndAnswersBringItBack() {
-        CallPace pace = new CallPace(new Random(1), GRACE_MS, false);
+        PollingBackoff pace = new PollingBackoff(new Random(1), GRACE_MS, false);
         for (int i = 0; i < 20; i++) {
             long wait = pace.turnedAway(0);
-            assertTrue(wait <= 1.5 * CallPace.MOST_MS, "never beyond the bound: " + wait);
+            assertTrue(wait <= 1.5 * PollingBackoff.MOST_MS, "never beyond the bound: " + wait);
         }
-        assertTrue(pace.turnedAway(0) >= MEAN_LOW * CallPace.MOST_MS);
+        assertTrue(pace.turnedAway(0) >= MEAN_LOW * PollingBackoff.MOST_MS);
         long watchPatience = pace.watchMs(0) - pace.holdMs(pace.watchMs(0));
         assertTrue(watchPatience > 1000 && pace.patienceMs() > LINE_MS, "its calls wait in a line");
         int answers = 0;
@@ -63,15 +63,15 @@
     @Property
     void answersThatCantBeUsedAreReadEverMoreRarely(@ForAll @DoubleRange(max = 10_000) double grace,
             @ForAll boolean pushed, @ForAll long seed) {
-        CallPace pace = new CallPace(new Random(seed), grace, pushed);
+        PollingBackoff pace = new PollingBackoff(new Random(seed), grace, pushed);
         long tooLong = pace.tooLong(0);
-        assertTrue(tooLong >= 2000 && tooLong <= CallPace.DUE_MS, "too long: " + tooLong);
+        assertTrue(tooLong >= 2000 && tooLong <= PollingBackoff.DUE_MS, "too long: " + tooLong);
         long wait = pace.unusable(0);
         assertTrue(wait <= 50, "after the first: " + wait);
         for (int i = 0; i < 30; i++) {
             wait = pace.unusable(0);
         }
-        assertTrue(wait >= 2000 && wait <= CallPace.DUE_MS, "after many: " + wait);
+        assertTrue(wait >= 2000 && wait <= PollingBackoff.DUE_MS, "after many: " + wait);
         pace.answered(0);
         assertTrue(pace.unusable(0) <= 50, "an answer that was taken ends it");
     }
@@ -84,11 +84,11 @@
      * one begins after the wait that the pace gives, and after as long a wait for the gateway's turn as it allows.
      */
     private static final class Caller {
-        final CallPace pace;
+        final PollingBackoff pace;
         final Random random;
         double now;
 
-        Caller(CallPace pace, Random random) {
+        Caller(PollingBackoff pace, Random random) {
             this.pace = pace;
             this.random = random;
         }
@@ -136,7 +136,7 @@
     }
 
     /**
-     * Whatever came of the calls before, a change is known {@link CallPace#TOLD_MS} after discovery had it and could be
+     * Whatever came of the calls before, a change is known {@link PollingBackoff#TOLD_MS} after discovery had it and could be
      * reached. That moment lies anywhere after the start of the last call that failed, so the next call has to begin within
      * that time less a call's own. Before, a call in a crowd was silent for 6 s and the wait after it lasted up to 6 s, a
      * refused one waited for 6 s, and a turn for 12 s.
@@ -146,12 +146,12 @@
             @ForAll boolean pushed, @ForAll @Size(min = 1, max = 30) List<Fate> fates, @ForAll boolean inTurn,
             @ForAll long seed) {
         Random random = new Random(seed);
-        Caller caller = new Caller(new CallPace(random, grace, pushed), random);
+        Caller caller = new Caller(new PollingBackoff(random, grace, pushed), random);
         for (Fate fate : fates) {
             double began = caller.now;
             caller.call(fate, inTurn);
             double upTo = fate == Fate.ANSWERED_THEN_CLOSED ? began + caller.pace.connectMs() + caller.pace.patienceMs() : began;
-            assertTrue(caller.now <= upTo + CallPace.DUE_MS + CallPace.LATEST_MS,
+            assertTrue(caller.now <= upTo + PollingBackoff.DUE_MS + PollingBackoff.LATEST_MS,
                     "after " + fate + " the next call came " + (caller.now - began) + " ms after the last");
         }
     }
@@ -160,7 +160,7 @@
     @Property
     void aSilentWatchIsOpenedAnewInTime(@ForAll @DoubleRange(max = 10_000) double grace, @ForAll boolean pushed,
             @ForAll @IntRange(max = 8) int refusals, @ForAll @IntRange(max = 8) int answers, @ForAll long seed) {
-        CallPace pace = new CallPace(new Random(seed), grace, pushed);
+        PollingBackoff pace = new PollingBackoff(new Random(seed), grace, pushed);
         for (int i = 0; i < refusals; i++) {
             pace.turnedAway(0);
         }
@@ -171,14 +171,14 @@
         long watch = pace.watchMs(pause);
         assertTrue(pace.holdMs(watch) <= watch);
         double again = pause + watch + pace.fellSilent();
-        assertTrue(again <= CallPace.DUE_MS, "opened anew after " + again + " ms");
+        assertTrue(again <= PollingBackoff.DUE_MS, "opened anew after " + again + " ms");
     }
 
     /** An agent that was away and is back knows at once what drains: a call comes while the drain's grace lasts. */
     @Property
     void anAgentThatIsBackIsCalledWithinTheGrace(@ForAll @DoubleRange(min = 400, max = 10_000) double grace,
             @ForAll @IntRange(min = 1, max = 40) int failures, @ForAll long seed) {
-        CallPace pace = new CallPace(new Random(seed), grace, true);
+        PollingBackoff pace = new PollingBackoff(new Random(seed), grace, true);
         long wait = 0;
         for (int i = 0; i < failures; i++) {
             wait = pace.broke(0);
@@ -195,10 +195,10 @@
     void aHerdDoesNotCallInStepNorFasterThanItIsServed() {
         for (int gateways : new int[] {14, 100}) {
             Random random = new Random(gateways);
-            List<CallPace> tier = new ArrayList<>();
+            List<PollingBackoff> tier = new ArrayList<>();
             PriorityQueue<long[]> due = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
             for (int i = 0; i < gateways; i++) {
-                tier.add(new CallPace(new Random(random.nextLong()), GRACE_MS, false));
+                tier.add(new PollingBackoff(new Random(random.nextLong()), GRACE_MS, false));
                 due.add(new long[] {random.nextInt(200), i});
             }
             int calls = 0;
@@ -215,7 +215,7 @@
                 servedAt = next[0];
                 boolean served = room >= 1;
                 room -= served ? 1 : 0;
-                CallPace pace = tier.get((int) next[1]);
+                PollingBackoff pace = tier.get((int) next[1]);
                 long wait = served ? Math.max(250, pace.answered(next[0])) : pace.turnedAway(next[0]);
                 due.add(new long[] {next[0] + wait, next[1]});
             }
--- a/gateway/src/test/java/marlford/gateway/net/LeavingsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ClientDepartureCountersTest.java
@@ -4,17 +4,17 @@
 
 import org.junit.jupiter.api.Test;
 
-class LeavingsTest {
+class ClientDepartureCountersTest {
     @Test
     void onlyWhatIsSentOnLongAfterItsClientLeftIsCountedAsSuch() {
-        Leavings l = new Leavings();
+        ClientDepartureCounters l = new ClientDepartureCounters();
         l.left(false);
         l.left(false);
         l.left(true);
         l.sent(Double.NEGATIVE_INFINITY); // its client is there
-        l.sent(Leavings.SOON_MS);
+        l.sent(ClientDepartureCounters.SOON_MS);
         assertEquals(" left_waiting=2 left_served=1", l.take());
-        l.sent(Leavings.SOON_MS + 1);
+        l.sent(ClientDepartureCounters.SOON_MS + 1);
         assertEquals(" sent_for_left=1", l.take());
         assertEquals("", l.take());
     }
--- a/gateway/src/test/java/marlford/gateway/net/CrossingsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/CrossingsTest.java
@@ -21,10 +21,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Request;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Request;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
 import marlford.gateway.net.Sockets.Registry;
@@ -66,12 +66,12 @@
         }
 
         @Override
-        public void request(double now, Request r) {
+        public void onRequest(double now, Request r) {
             act.send(r.id(), "h0", 0);
         }
 
         @Override
-        public void attemptEnded(double now, AttemptResult r) {
+        public void onAttemptEnded(double now, AttemptResult r) {
             ended.set(r.outcome());
             try {
                 closedBefore.set(host.ended.poll(CLOSES_WITHIN_S, TimeUnit.SECONDS) != null);
@@ -98,7 +98,7 @@
         }
 
         @Override
-        public void request(double now, Request r) {
+        public void onRequest(double now, Request r) {
             if (r.id().equals("a")) {
                 act.send(r.id(), "h0", LIMIT_MS);
                 return;
@@ -116,7 +116,7 @@
         }
 
         @Override
-        public void attemptEnded(double now, AttemptResult r) {
+        public void onAttemptEnded(double now, AttemptResult r) {
             ended.compareAndSet(null, r.outcome());
             act.fail(r.id()); // where it was answered, nobody is owed this
         }
--- a/gateway/src/test/java/marlford/gateway/net/DiscoveryTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DiscoveryTest.java
@@ -108,7 +108,7 @@
             }
         }));
         Node node = nodeAsking(agent);
-        node.loop.submit(() -> node.extras = new Extras(Map.of(), Usage.NONE, new FailingTurn(hasTurn), inside -> { })).sync();
+        node.loop.submit(() -> node.extras = new GatewayExtensions(Map.of(), UsageRecorder.NONE, new FailingTurn(hasTurn), inside -> { })).sync();
         for (int i = 0; i < CALLS_AWAY; i++) {
             assertNotNull(agent.next(), "calls ended");
         }
@@ -117,7 +117,7 @@
     }
 
     /** Fails where a turn is asked for, or else where what came of it is told. */
-    private record FailingTurn(boolean hasTurn) implements ListTurn {
+    private record FailingTurn(boolean hasTurn) implements SharedListFetch {
         @Override
         public void due(String agent, Consumer<Told> next) {
             if (!hasTurn) {
--- a/gateway/src/test/java/marlford/gateway/net/EndsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EndsTest.java
@@ -21,13 +21,13 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Request;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Request;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -97,14 +97,14 @@
         }
 
         @Override
-        public void request(double now, Request r) {
+        public void onRequest(double now, Request r) {
             id = r.id();
             attempts = 1;
             act.send(id, "h", 0);
         }
 
         @Override
-        public void attemptEnded(double now, AttemptResult r) {
+        public void onAttemptEnded(double now, AttemptResult r) {
             if (r.closed() || !r.id().equals(id)) {
                 return;
             }
@@ -119,7 +119,7 @@
         }
 
         @Override
-        public void clientLeft(double now, String request) {
+        public void onClientLeft(double now, String request) {
             act.cancel(request, attempts - 1);
         }
     }
--- a/gateway/src/test/java/marlford/gateway/net/EventLogTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EventLogTest.java
@@ -5,7 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import marlford.gateway.Gateway.Outcome;
+import marlford.gateway.EngineApi.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Each end has its reason: in the counts of a second, and in a line with the request's id. */
--- a/gateway/src/test/java/marlford/gateway/net/FailedAcceptStopsAcceptingTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/FailedAcceptStopsAcceptingTest.java
@@ -20,7 +20,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import marlford.gateway.Brain;
+import marlford.gateway.DecisionEngine;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Registry;
 import org.junit.jupiter.api.Test;
@@ -79,7 +79,7 @@
     private Node node(String error, Clock clock) throws Exception {
         registry = kept(new Registry(list(1, true, entry("h0", host(SocketTest::echo).address(), "ready"))));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
-                Brain::new, failing(error), new NioEventLoopGroup(1), clock);
+                DecisionEngine::new, failing(error), new NioEventLoopGroup(1), clock);
         ends.push(node::stop);
         node.start();
         port = node.port();
--- a/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
@@ -18,7 +18,7 @@
 import java.net.InetSocketAddress;
 import java.net.SocketException;
 import java.util.concurrent.atomic.AtomicInteger;
-import marlford.gateway.Brain;
+import marlford.gateway.DecisionEngine;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Registry;
 import org.junit.jupiter.api.Test;
@@ -54,7 +54,7 @@
     private Node node() throws Exception {
         registry = kept(new Registry(list(1, true, entry("h0", host(SocketTest::echo).address(), "ready"))));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
-                Brain::new, transport, new NioEventLoopGroup(1));
+                DecisionEngine::new, transport, new NioEventLoopGroup(1));
         ends.push(node::stop);
         return node;
     }
--- a/gateway/src/test/java/marlford/gateway/net/ForbiddenRepeatIsSentTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ForbiddenRepeatIsSentTest.java
@@ -7,10 +7,10 @@
 
 import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Request;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Request;
 import marlford.gateway.guard.Rule;
 import marlford.gateway.net.Sockets.Registry;
 import marlford.gateway.net.Sockets.Server;
@@ -29,12 +29,12 @@
         }
 
         @Override
-        public void request(double now, Request r) {
+        public void onRequest(double now, Request r) {
             act.send(r.id(), "h0", 0);
         }
 
         @Override
-        public void attemptEnded(double now, AttemptResult r) {
+        public void onAttemptEnded(double now, AttemptResult r) {
             if (r.attempt() == 0) {
                 act.send(r.id(), "h1", 0);
             } else {
--- a/gateway/src/test/java/marlford/gateway/net/HostIsBlamedForALocalFailureTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostIsBlamedForALocalFailureTest.java
@@ -20,7 +20,7 @@
 import java.net.SocketAddress;
 import java.net.SocketException;
 import java.util.concurrent.atomic.AtomicInteger;
-import marlford.gateway.Brain;
+import marlford.gateway.DecisionEngine;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Registry;
 import marlford.gateway.net.Sockets.Server;
@@ -90,7 +90,7 @@
     private Node node(Failure failure, String... hosts) throws Exception {
         registry = kept(new Registry(list(1, true, hosts)));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
-                Brain::new, new FailingTransport(failure), new NioEventLoopGroup(1));
+                DecisionEngine::new, new FailingTransport(failure), new NioEventLoopGroup(1));
         ends.push(node::stop);
         node.start();
         return node;
--- a/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import marlford.gateway.Gateway.HostState;
+import marlford.gateway.EngineApi.HostState;
 import marlford.gateway.list.HostList;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
--- a/gateway/src/test/java/marlford/gateway/net/LeftClientsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LeftClientsTest.java
@@ -24,10 +24,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Request;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Request;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
 import marlford.gateway.net.Sockets.Registry;
@@ -77,7 +77,7 @@
         }
 
         @Override
-        public void request(double now, Request r) {
+        public void onRequest(double now, Request r) {
             if (r.id().startsWith(NOW)) {
                 act.send(r.id(), "h0", 0);
             } else {
@@ -86,12 +86,12 @@
         }
 
         @Override
-        public void attemptEnded(double now, AttemptResult r) {
+        public void onAttemptEnded(double now, AttemptResult r) {
             ended.add(r);
         }
 
         @Override
-        public void clientLeft(double now, String id) {
+        public void onClientLeft(double now, String id) {
             left.add(id);
         }
 
--- a/gateway/src/test/java/marlford/gateway/net/MeetingsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/MeetingsTest.java
@@ -33,10 +33,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import marlford.gateway.Brain;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.ListKind;
+import marlford.gateway.DecisionEngine;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.ListKind;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -259,7 +259,7 @@
             this.planted = planted;
             run = this;
             held.clear();
-            node = new Node(config(), Brain::new, transport, inside, clock);
+            node = new Node(config(), DecisionEngine::new, transport, inside, clock);
             inside.submit(() -> node.listen()).sync().getNow().sync();
             List<Discovery.Entry> list = new ArrayList<>();
             for (int i = 0; i < HOST_PORTS.length; i++) {
--- a/gateway/src/test/java/marlford/gateway/net/NodeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/NodeTest.java
@@ -27,9 +27,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.Events;
-import marlford.gateway.Gateway.Request;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.Events;
+import marlford.gateway.EngineApi.Request;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
 import marlford.gateway.net.Sockets.Registry;
@@ -449,7 +449,7 @@
     /** A module that does only what a test says of a request. */
     private record Scripted(BiConsumer<Double, Request> script) implements Quiet {
         @Override
-        public void request(double now, Request r) {
+        public void onRequest(double now, Request r) {
             script.accept(now, r);
         }
     }
--- a/gateway/src/test/java/marlford/gateway/net/Quiet.java
+++ b/gateway/src/test/java/marlford/gateway/net/Quiet.java
@@ -1,39 +1,39 @@
 package marlford.gateway.net;
 
 import java.util.List;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Events;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Settings;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Events;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Settings;
 
 /** A module that does nothing about whatever a test leaves out. */
 interface Quiet extends Events {
     @Override
-    default void start(double now, Settings settings) { }
+    default void onStart(double now, Settings settings) { }
 
     @Override
-    default void hosts(double now, ListKind kind, List<Host> hosts) { }
+    default void onHosts(double now, ListKind kind, List<Host> hosts) { }
 
     @Override
-    default void streamStarted(double now, String id, int attempt) { }
+    default void onStreamStarted(double now, String id, int attempt) { }
 
     @Override
-    default void attemptEnded(double now, AttemptResult r) { }
+    default void onAttemptEnded(double now, AttemptResult r) { }
 
     @Override
-    default void clientLeft(double now, String id) { }
+    default void onClientLeft(double now, String id) { }
 
     @Override
-    default void timer(double now, String token) { }
+    default void onTimer(double now, String token) { }
 
     @Override
-    default void probed(double now, String host, Outcome outcome, double latencyMs, double[] report) { }
+    default void onProbeResult(double now, String host, Outcome outcome, double latencyMs, double[] report) { }
 
     @Override
-    default void peerSaid(double now, int peer, byte[] data) { }
+    default void onPeerMessage(double now, int peer, byte[] data) { }
 
     @Override
-    default void counted(double now, String counter, Outcome outcome, double total) { }
+    default void onCounterResult(double now, String counter, Outcome outcome, double total) { }
 }
--- a/gateway/src/test/java/marlford/gateway/net/SocketTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/SocketTest.java
@@ -20,9 +20,9 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
-import marlford.gateway.Brain;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.Events;
+import marlford.gateway.DecisionEngine;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.Events;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
 import marlford.gateway.net.Sockets.Registry;
@@ -101,7 +101,7 @@
 
     /** The same, which goes by a clock of the test's own. */
     Node of(String config, MovedClock clock) throws IOException {
-        Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), Brain::new, Transport.TCP,
+        Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), DecisionEngine::new, Transport.TCP,
                 new NioEventLoopGroup(1), clock);
         ends.push(node::stop);
         node.start();
--- a/gateway/src/test/java/marlford/gateway/net/Sockets.java
+++ b/gateway/src/test/java/marlford/gateway/net/Sockets.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import marlford.gateway.Brain;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.Events;
+import marlford.gateway.DecisionEngine;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.Events;
 
 /** The other ends of a node's sockets, on ports that the system chooses. */
 final class Sockets {
@@ -237,7 +237,7 @@
     }
 
     static Node node(String config) throws IOException {
-        return node(config, Brain::new);
+        return node(config, DecisionEngine::new);
     }
 
     static Node node(String config, Function<Actions, Events> module) throws IOException {
@@ -247,7 +247,7 @@
     }
 
     static Node unstarted(String config) throws IOException {
-        return unstarted(config, Brain::new);
+        return unstarted(config, DecisionEngine::new);
     }
 
     private static Node unstarted(String config, Function<Actions, Events> module) throws IOException {
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseCourse.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseCourse.java
@@ -10,7 +10,7 @@
  * on. The owners have half of the store each; for a quota there is one owner, whose book a stand-in keeps for its return.
  */
 final class LeaseCourse {
-    private static final Talk.Named NAMED = new Talk.Named(7, 0, 0, 4);
+    private static final QuotaMessage.Named NAMED = new QuotaMessage.Named(7, 0, 0, 4);
     private static final CeilingShare.Fill FILL = new CeilingShare.Fill(true, 1);
     private static final int STEPS = 20;
     private static final int HOLDERS = 2;
@@ -33,9 +33,9 @@
         double since;
         double backAt = Double.NEGATIVE_INFINITY;
         CeilingShare share; // of a ceiling
-        Book book; // of a quota
+        QuotaLedger ledger; // of a quota
         double syncedAt = Double.NEGATIVE_INFINITY;
-        Talk.Sync synced;
+        QuotaMessage.Sync synced;
         double unsynced; // units granted, since the stand-in was told
     }
 
@@ -47,12 +47,12 @@
     }
 
     private record Mail(double at, boolean toOwner, int owner, int ownerLife, int holder, int holderLife,
-            Talk.LeaseRequest request, Talk.LeaseGrant grant) { }
+            QuotaMessage.LeaseRequest request, QuotaMessage.LeaseGrant grant) { }
 
     private record Sending(double at, double units) { }
 
     private final SplittableRandom random;
-    private final Terms terms;
+    private final QuotaTerms terms;
     private final boolean quota;
     private final Fault fault;
     private final Owner[] owners;
@@ -68,7 +68,7 @@
     double allowedBelow;
     double leased; // units spent from leases
 
-    LeaseCourse(long seed, Terms terms, boolean quota, Fault fault) {
+    LeaseCourse(long seed, QuotaTerms terms, boolean quota, Fault fault) {
         random = new SplittableRandom(seed);
         this.terms = terms;
         this.quota = quota;
@@ -77,7 +77,7 @@
         truth = quota ? terms.burst() : 0; // what the former lives gave has just been spent
         touchedAt = quota ? now : now + CeilingShare.LENT_MS;
         deadly = random.nextInt(3) == 0;
-        allowedBelow = quota ? Book.OVERCOMMIT * terms.burst() : 0;
+        allowedBelow = quota ? QuotaLedger.OVERCOMMIT * terms.burst() : 0;
         for (int i = 0; i < owners.length; i++) {
             owners[i] = new Owner();
             owners[i].since = now;
@@ -91,15 +91,15 @@
 
     private LeaseHolder newLease() {
         double termMs = LeaseLedger.USE_MS + (fault == Fault.TERM_TOO_LONG ? WAY_MS : 0);
-        return new LeaseHolder(quota ? Talk.Of.STORE : Talk.Of.CEILING, termMs);
+        return new LeaseHolder(quota ? QuotaMessage.Of.STORE : QuotaMessage.Of.CEILING, termMs);
     }
 
     private void begin(Owner o) {
         if (quota) {
-            o.book = new Book(NAMED, new Keepers(new int[] {0}, new int[0]), terms, null, now);
+            o.ledger = new QuotaLedger(NAMED, new LedgerPlacement(new int[] {0}, new int[0]), terms, null, now);
             if (o.synced != null) {
                 double filled = o.synced.fullness() + (now - o.syncedAt) / 1000 * terms.rate() / terms.burst();
-                o.book.told(now, new Talk.Sync(NAMED, Math.min(1, filled), 0), true, FILL);
+                o.ledger.told(now, new QuotaMessage.Sync(NAMED, Math.min(1, filled), 0), true, FILL);
             }
         } else {
             double since = o.since - (fault == Fault.FORMER_LIFE_FORGOTTEN ? LeaseLedger.LENT_MS : 0);
@@ -181,7 +181,7 @@
             return;
         }
         if (quota) {
-            if (o.book.judge(now, units, 0, Talk.Of.STORE, 0, FILL) == Talk.Verdict.GRANTED) {
+            if (o.ledger.judge(now, units, 0, QuotaMessage.Of.STORE, 0, FILL) == QuotaMessage.Verdict.GRANTED) {
                 o.unsynced += units;
                 sendings.add(new Sending(now, units));
             }
@@ -196,7 +196,7 @@
     private void request(int owner, int holder) {
         Holder h = holders[holder];
         h.lease.tried(now, 1 + random.nextInt(6));
-        Talk.LeaseRequest r = h.lease.request(now, ++h.serial, owner, NAMED);
+        QuotaMessage.LeaseRequest r = h.lease.request(now, ++h.serial, owner, NAMED);
         if (r != null) {
             post(new Mail(now, true, owner, 0, holder, h.life, wire(r), null));
         }
@@ -205,15 +205,15 @@
     private void end(int holder) {
         Holder h = holders[holder];
         int owner = h.lease.owner();
-        Talk.LeaseRequest r = h.lease.end(now, ++h.serial, NAMED);
+        QuotaMessage.LeaseRequest r = h.lease.end(now, ++h.serial, NAMED);
         if (r != null) {
             post(new Mail(now, true, owner, 0, holder, h.life, wire(r), null));
         }
     }
 
     /** As a message carries it. */
-    private static Talk.LeaseRequest wire(Talk.LeaseRequest r) {
-        return new Talk.LeaseRequest(r.serial(), r.named(), r.of(), Math.round(4 * r.units()) / 4.0,
+    private static QuotaMessage.LeaseRequest wire(QuotaMessage.LeaseRequest r) {
+        return new QuotaMessage.LeaseRequest(r.serial(), r.named(), r.of(), Math.round(4 * r.units()) / 4.0,
                 Math.ceil(4 * r.held()) / 4, Math.floor(4 * r.returned()) / 4);
     }
 
@@ -230,7 +230,7 @@
         if (!there(o)) {
             return;
         }
-        allowedBelow += Book.LEASED_MOST * terms.burst() + o.unsynced;
+        allowedBelow += QuotaLedger.LEASED_MOST * terms.burst() + o.unsynced;
         o.unsynced = 0;
         o.life++;
         o.since = now;
@@ -277,8 +277,8 @@
     private void sync() {
         if (quota && there(owners[0]) && now - owners[0].syncedAt >= SYNC_MS) {
             Owner o = owners[0];
-            o.book.touch(now, FILL);
-            o.synced = new Talk.Sync(NAMED, o.book.fullness(), 0);
+            o.ledger.touch(now, FILL);
+            o.synced = new QuotaMessage.Sync(NAMED, o.ledger.fullness(), 0);
             o.syncedAt = now;
             o.unsynced = 0;
         }
@@ -306,13 +306,13 @@
         if (!there(o) || m.holderLife < h.life && random.nextBoolean()) { // the later life may have been heard already
             return;
         }
-        Talk.LeaseRequest r = m.request;
-        double units = quota ? o.book.lease(now, m.holder, m.holderLife, r, true, FILL)
+        QuotaMessage.LeaseRequest r = m.request;
+        double units = quota ? o.ledger.lease(now, m.holder, m.holderLife, r, true, FILL)
                 : o.share.lease(now, m.holder, m.holderLife, r, FILL);
         o.unsynced += units;
         if (r.units() > 0) {
             post(new Mail(now, false, m.owner, o.life, m.holder, m.holderLife, null,
-                    new Talk.LeaseGrant(m.request.serial(), units, 1, 0)));
+                    new QuotaMessage.LeaseGrant(m.request.serial(), units, 1, 0)));
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseCoursesTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseCoursesTest.java
@@ -15,7 +15,7 @@
     private static final int FAULT_COURSES = 100_000;
     private static final double ROUNDING = 1e-3;
     /** What is leased fills again within a lease's term, so that what is counted wrongly shows. */
-    private static final Terms TERMS = new Terms(15, 26, 20, 30);
+    private static final QuotaTerms TERMS = new QuotaTerms(15, 26, 20, 30);
 
     private static LeaseCourse played(long seed, boolean quota, LeaseCourse.Fault fault) {
         LeaseCourse course = new LeaseCourse(seed, TERMS, quota, fault);
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseTable.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseTable.java
@@ -18,7 +18,7 @@
     private LeaseTable() { }
 
     /** A tier on a quiet day, in which each gateway has about so many tries a second. */
-    static Tier quietDay(int gateways, int spread, Terms terms, double triesPerSecond, long seed) {
+    static Tier quietDay(int gateways, int spread, QuotaTerms terms, double triesPerSecond, long seed) {
         Tier t = new Tier(gateways, LOSS, seed);
         Random random = new Random(seed);
         double wanted = gateways * triesPerSecond * UNITS_PER_TRY;
@@ -47,7 +47,7 @@
         System.out.println("set, ceiling | tries/s | messages/s | bytes/s | beyond | refused with room | p50, p99 ms |"
                 + " in a lease: p50, p99 | lowest ceiling | refused");
         for (int spread : SPREADS) {
-            for (Terms terms : new Terms[] {Tier.LARGE, Tier.CAPPED}) {
+            for (QuotaTerms terms : new QuotaTerms[] {Tier.LARGE, Tier.CAPPED}) {
                 for (int tries : TRIES_PER_S) {
                     Tier t = quietDay(gateways, spread, terms, tries, seed);
                     t.pass(WARM_MS);
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseTest.java
@@ -9,22 +9,22 @@
 
 /** The two sides of one lease, each by itself. */
 class LeaseTest {
-    private static final Talk.Named NAMED = new Talk.Named(1, 0, 0, 3);
+    private static final QuotaMessage.Named NAMED = new QuotaMessage.Named(1, 0, 0, 3);
     private static final CeilingShare.Fill FILL = new CeilingShare.Fill(true, 1);
     private static final int PEER = 4;
     private static final int LIFE = 77;
     private static final double NOW = 100_000;
 
-    private static Book book() {
-        return new Book(NAMED, new Keepers(new int[] {0}, new int[0]), Tier.LARGE, null, NOW);
+    private static QuotaLedger book() {
+        return new QuotaLedger(NAMED, new LedgerPlacement(new int[] {0}, new int[0]), Tier.LARGE, null, NOW);
     }
 
-    private static double lease(Book b, double now, int serial, double units, double held, double returned) {
-        Talk.LeaseRequest request = new Talk.LeaseRequest(serial, NAMED, Talk.Of.STORE, units, held, returned);
+    private static double lease(QuotaLedger b, double now, int serial, double units, double held, double returned) {
+        QuotaMessage.LeaseRequest request = new QuotaMessage.LeaseRequest(serial, NAMED, QuotaMessage.Of.STORE, units, held, returned);
         return b.lease(now, PEER, LIFE, request, true, FILL);
     }
 
-    private static LeaseHolder busy(Talk.Of of) {
+    private static LeaseHolder busy(QuotaMessage.Of of) {
         LeaseHolder h = new LeaseHolder(of);
         for (int i = 0; i < 10; i++) {
             h.tried(NOW, 2);
@@ -35,7 +35,7 @@
     /** What is leased leaves the store at once, and its room stays taken until it is spent or the term ends. */
     @Test
     void aStoreFillsUpToItsBurstLessWhatIsLeased() {
-        Book b = book();
+        QuotaLedger b = book();
         assertEquals(10, lease(b, NOW, 1, 10, 0, 0));
         assertEquals(16, b.level());
         b.touch(NOW + 1000, FILL);
@@ -49,7 +49,7 @@
 
     @Test
     void aRequestIsSettledOnce() {
-        Book b = book();
+        QuotaLedger b = book();
         assertEquals(10, lease(b, NOW, 1, 10, 0, 0));
         assertEquals(10, lease(b, NOW, 1, 10, 0, 0), "a repeat has the first answer");
         assertEquals(16, b.level());
@@ -63,16 +63,16 @@
     /** No request gets more than half of what is there, and all together no more than a part of the burst. */
     @Test
     void aLeaseIsAFairPart() {
-        Book b = book();
+        QuotaLedger b = book();
         assertEquals(13, lease(b, NOW, 1, 60, 0, 0));
-        assertEquals(Math.floor(4 * (Book.LEASED_MOST * 26 - 13)) / 4, lease(b, NOW + 500, 2, 60, 13, 0));
+        assertEquals(Math.floor(4 * (QuotaLedger.LEASED_MOST * 26 - 13)) / 4, lease(b, NOW + 500, 2, 60, 13, 0));
         assertEquals(0, lease(b, NOW + 600, 3, 60, 18, 0));
     }
 
     @Test
     void whoIsNotInChargeGrantsNothing() {
-        Book b = book();
-        Talk.LeaseRequest request = new Talk.LeaseRequest(1, NAMED, Talk.Of.STORE, 5, 0, 0);
+        QuotaLedger b = book();
+        QuotaMessage.LeaseRequest request = new QuotaMessage.LeaseRequest(1, NAMED, QuotaMessage.Of.STORE, 5, 0, 0);
         assertEquals(0, b.lease(NOW, PEER, LIFE, request, false, FILL));
         assertEquals(0, b.lease(NOW, PEER, LIFE, request, true, new CeilingShare.Fill(false, 1)), "another process fills it");
         assertEquals(26, b.level());
@@ -81,7 +81,7 @@
     /** The holder's term runs from its asking, however late the grant comes; the owner's from its giving, and is longer. */
     @Test
     void theTermIsCountedFromTheAsking() {
-        LeaseHolder h = busy(Talk.Of.STORE);
+        LeaseHolder h = busy(QuotaMessage.Of.STORE);
         h.request(NOW, 1, PEER, NAMED);
         h.granted(NOW + 1500, PEER, LIFE, 1, 8);
         assertTrue(h.take(NOW + 1999, 2));
@@ -94,7 +94,7 @@
 
     @Test
     void onlyTheOpenRequestsGrantIsTaken() {
-        LeaseHolder h = busy(Talk.Of.STORE);
+        LeaseHolder h = busy(QuotaMessage.Of.STORE);
         h.request(NOW, 1, PEER, NAMED);
         h.granted(NOW, PEER + 1, LIFE, 1, 8);
         h.granted(NOW, PEER, LIFE, 2, 8);
@@ -108,7 +108,7 @@
     /** Its keeper's next life does not count what the former granted: it is given up, not prolonged. */
     @Test
     void whatAFormerLifeGrantedIsNotProlonged() {
-        LeaseHolder h = busy(Talk.Of.STORE);
+        LeaseHolder h = busy(QuotaMessage.Of.STORE);
         h.request(NOW, 1, PEER, NAMED);
         h.granted(NOW, PEER, LIFE, 1, 8);
         h.request(NOW + 1000, 2, PEER, NAMED);
@@ -120,7 +120,7 @@
     /** Ceiling units count as held until they must have reached a host, also where they were another owner's. */
     @Test
     void whatIsOnItsWayToAHostIsHeld() {
-        LeaseHolder h = busy(Talk.Of.CEILING);
+        LeaseHolder h = busy(QuotaMessage.Of.CEILING);
         h.request(NOW, 1, PEER, NAMED);
         h.granted(NOW, PEER, LIFE, 1, 8);
         assertTrue(h.take(NOW + 100, 3));
@@ -134,7 +134,7 @@
     /** Without demand a lease ends, and what is left of it goes back. */
     @Test
     void anIdleLeaseGoesBack() {
-        LeaseHolder h = busy(Talk.Of.STORE);
+        LeaseHolder h = busy(QuotaMessage.Of.STORE);
         assertTrue(h.active(NOW));
         h.request(NOW, 1, PEER, NAMED);
         h.granted(NOW, PEER, LIFE, 1, 8);
@@ -147,8 +147,8 @@
             h.granted(NOW + 1000 * i, PEER, LIFE, i, 0);
         }
         assertFalse(h.active(NOW + 7500));
-        Talk.LeaseRequest end = h.end(NOW + 7500, 9, NAMED);
-        assertEquals(new Talk.LeaseRequest(9, NAMED, Talk.Of.STORE, 0, 0, 6), end);
+        QuotaMessage.LeaseRequest end = h.end(NOW + 7500, 9, NAMED);
+        assertEquals(new QuotaMessage.LeaseRequest(9, NAMED, QuotaMessage.Of.STORE, 0, 0, 6), end);
         assertNull(h.end(NOW + 7500, 10, NAMED));
         assertFalse(h.take(NOW + 7500, 1));
     }
@@ -156,7 +156,7 @@
     /** A request that was never sent on gives its units back to the lease, but not those the owner was told are spent. */
     @Test
     void unitsComeBackWhileTheOwnerCountsThem() {
-        LeaseHolder h = busy(Talk.Of.STORE);
+        LeaseHolder h = busy(QuotaMessage.Of.STORE);
         h.request(NOW, 1, PEER, NAMED);
         h.granted(NOW, PEER, LIFE, 1, 8);
         h.take(NOW, 8);
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseTierTest.java
@@ -17,7 +17,7 @@
     private static final double BYTES = 5 * 1024; // a second
     private static final double LEASED_P99_MS = 20;
 
-    private static Tier tier(Terms terms) {
+    private static Tier tier(QuotaTerms terms) {
         Tier t = LeaseTable.quietDay(GATEWAYS, SET, terms, TRIES, SEED);
         t.pass(5000);
         t.mark();
@@ -94,11 +94,11 @@
         t.pass(6000);
         t.mark();
         c.perSecond = 40;
-        int keeper = Keepers.of(c.named, 40, Tier.LARGE, 8).books()[0];
+        int keeper = LedgerPlacement.of(c.named, 40, Tier.LARGE, 8).books()[0];
         t.kill(keeper, 1500);
         t.pass(6000);
         // docs/design/quota-leases.md: what was leased, what the stand-in was not told, and the same at the return.
-        double most = c.allowed + (Book.OVERCOMMIT + Book.LEASED_MOST) * Tier.LARGE.burst()
+        double most = c.allowed + (QuotaLedger.OVERCOMMIT + QuotaLedger.LEASED_MOST) * Tier.LARGE.burst()
                 + 40 * 0.5 + Tier.LARGE.burst();
         System.out.println("[lease] keeper died, seed " + seed + ": sent " + c.sent + ", allowed " + c.allowed);
         assertTrue(c.sent <= most, c.sent + " sent on, " + c.allowed + " allowed, formula " + most);
@@ -117,7 +117,7 @@
             c.perSecond = i % 2 == 0 ? 60 : 10;
             t.pass(1500);
         }
-        assertTrue(c.sent <= c.allowed + Book.OVERCOMMIT * Tier.LARGE.burst() + Tier.MOST_UNITS, c.sent + " sent on, " + c.allowed + " allowed");
+        assertTrue(c.sent <= c.allowed + QuotaLedger.OVERCOMMIT * Tier.LARGE.burst() + Tier.MOST_UNITS, c.sent + " sent on, " + c.allowed + " allowed");
         assertTrue(c.sent >= 0.6 * c.allowed, c.sent + " sent on, " + c.allowed + " allowed");
     }
 
--- a/gateway/src/test/java/marlford/gateway/quota/PartsOfQuotaTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/PartsOfQuotaTest.java
@@ -16,19 +16,19 @@
 /** Messages, keepers and shares of ceilings, each by itself. */
 class PartsOfQuotaTest {
     private static final CeilingShare.Fill FILL = new CeilingShare.Fill(true, 1);
-    private static final Talk.Named NAMED = new Talk.Named(0x1_ffff_fffeL, 1, 99, 60);
+    private static final QuotaMessage.Named NAMED = new QuotaMessage.Named(0x1_ffff_fffeL, 1, 99, 60);
 
-    private static Talk all() {
-        return new Talk(123_456, 0xfedc, 65_535, List.of(new Talk.Ask(65_535, NAMED, 3.25, 7, Talk.Of.STORE),
-                new Talk.Answer(1, Talk.Verdict.CEILING, -0.25, 16, true), new Talk.Back(0), new Talk.Used(7, NAMED, 63.75),
-                new Talk.Sync(NAMED, 0.5, 4), new Talk.Hint(0x1_ffff_fffdL, 1, 0, 25), new Talk.LeaseCapable(),
-                new Talk.LeaseRequest(9, NAMED, Talk.Of.CEILING, 12.25, 63.75, 0.5), new Talk.LeaseGrant(65_535, 7.75, 0.5, 4),
-                new Talk.Presence(Talk.State.LEAVES)));
+    private static QuotaMessage all() {
+        return new QuotaMessage(123_456, 0xfedc, 65_535, List.of(new QuotaMessage.Ask(65_535, NAMED, 3.25, 7, QuotaMessage.Of.STORE),
+                new QuotaMessage.Answer(1, QuotaMessage.Verdict.CEILING, -0.25, 16, true), new QuotaMessage.Back(0), new QuotaMessage.Used(7, NAMED, 63.75),
+                new QuotaMessage.Sync(NAMED, 0.5, 4), new QuotaMessage.Hint(0x1_ffff_fffdL, 1, 0, 25), new QuotaMessage.LeaseCapable(),
+                new QuotaMessage.LeaseRequest(9, NAMED, QuotaMessage.Of.CEILING, 12.25, 63.75, 0.5), new QuotaMessage.LeaseGrant(65_535, 7.75, 0.5, 4),
+                new QuotaMessage.Presence(QuotaMessage.State.LEAVES)));
     }
 
     @Test
     void aMessageIsReadAsItWasWritten() {
-        assertEquals(all(), Talk.read(all().bytes()));
+        assertEquals(all(), QuotaMessage.read(all().bytes()));
     }
 
     /** Short, long, flipped in any bit, or of an earlier version: none is read as a message. */
@@ -36,23 +36,23 @@
     void whatIsDamagedIsNoMessage() {
         byte[] good = all().bytes();
         for (int length = 0; length < good.length; length++) {
-            assertNull(Talk.read(Arrays.copyOf(good, length)), length + " bytes");
+            assertNull(QuotaMessage.read(Arrays.copyOf(good, length)), length + " bytes");
         }
-        assertNull(Talk.read(Arrays.copyOf(good, good.length + 1)));
+        assertNull(QuotaMessage.read(Arrays.copyOf(good, good.length + 1)));
         for (int bit = 0; bit < 8 * good.length; bit++) {
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(Talk.read(bad), "bit " + bit);
+            assertNull(QuotaMessage.read(bad), "bit " + bit);
         }
     }
 
     /** Earlier versions read what says that a gateway understands leases as something that they ignore. */
     @Test
     void beingCapableOfLeasesIsNothingNewOnTheWire() {
-        Talk.Item here = new Talk.Presence(Talk.State.HERE);
-        byte[] capable = new Talk(1, 2, 3, List.of(new Talk.LeaseCapable())).bytes();
-        assertArrayEquals(new Talk(1, 2, 3, List.of(here, here)).bytes(), capable);
-        assertEquals(List.of(here), Talk.read(new Talk(1, 2, 3, List.of(here)).bytes()).items());
+        QuotaMessage.Item here = new QuotaMessage.Presence(QuotaMessage.State.HERE);
+        byte[] capable = new QuotaMessage(1, 2, 3, List.of(new QuotaMessage.LeaseCapable())).bytes();
+        assertArrayEquals(new QuotaMessage(1, 2, 3, List.of(here, here)).bytes(), capable);
+        assertEquals(List.of(here), QuotaMessage.read(new QuotaMessage(1, 2, 3, List.of(here)).bytes()).items());
     }
 
     /** The units held are never told as fewer than they are, those returned never as more. */
@@ -60,9 +60,9 @@
     void aLeaseIsToldOnTheSafeSide() {
         for (int i = 0; i < 600; i++) {
             double units = i / 10.0;
-            Talk.LeaseRequest said = new Talk.LeaseRequest(1, NAMED, Talk.Of.STORE, 1, units, units);
-            Talk.LeaseRequest read =
-                    (Talk.LeaseRequest) Talk.read(new Talk(1, 2, 3, List.of(said)).bytes()).items().get(0);
+            QuotaMessage.LeaseRequest said = new QuotaMessage.LeaseRequest(1, NAMED, QuotaMessage.Of.STORE, 1, units, units);
+            QuotaMessage.LeaseRequest read =
+                    (QuotaMessage.LeaseRequest) QuotaMessage.read(new QuotaMessage(1, 2, 3, List.of(said)).bytes()).items().get(0);
             assertTrue(read.held() >= units && read.returned() <= units, units + " read as " + read);
         }
     }
@@ -72,8 +72,8 @@
     void aStoreIsToldRoundedDown() {
         for (int i = 0; i <= 1000; i++) {
             double fullness = i / 1000.0;
-            Talk talk = new Talk(1, 0, 1, List.of(new Talk.Answer(1, Talk.Verdict.STORE, fullness, 0, false)));
-            double told = ((Talk.Answer) Talk.read(talk.bytes()).items().get(0)).fullness();
+            QuotaMessage message = new QuotaMessage(1, 0, 1, List.of(new QuotaMessage.Answer(1, QuotaMessage.Verdict.STORE, fullness, 0, false)));
+            double told = ((QuotaMessage.Answer) QuotaMessage.read(message.bytes()).items().get(0)).fullness();
             assertTrue(told <= fullness + 1e-5 && told > fullness - 0.0051, fullness + " told as " + told);
         }
     }
@@ -84,15 +84,15 @@
         Random random = new Random(7);
         for (int i = 0; i < 5000; i++) {
             int gateways = 1 + random.nextInt(500);
-            Talk.Named n = new Talk.Named(random.nextInt(), 0, random.nextInt(gateways), 1 + random.nextInt(gateways));
-            Keepers k = Keepers.of(n, gateways, Tier.CAPPED, 8);
+            QuotaMessage.Named n = new QuotaMessage.Named(random.nextInt(), 0, random.nextInt(gateways), 1 + random.nextInt(gateways));
+            LedgerPlacement k = LedgerPlacement.of(n, gateways, Tier.CAPPED, 8);
             int[] everyone = IntStream.concat(IntStream.of(k.books()), IntStream.of(k.shares())).toArray();
             assertTrue(IntStream.of(everyone).allMatch(g -> n.holds(g, gateways)), n + " " + Arrays.toString(everyone));
             assertEquals(k.books().length, IntStream.of(k.books()).distinct().count());
-            assertEquals(Math.min(n.spread(), Keepers.MOST), k.books().length);
+            assertEquals(Math.min(n.spread(), LedgerPlacement.MOST), k.books().length);
             assertEquals(k.shares().length, IntStream.of(k.shares()).distinct().count());
             assertTrue(k.shares().length >= 1 && Tier.CAPPED.ceilingBurst() / k.shares().length >= 8);
-            assertEquals(0, Keepers.of(n, gateways, Tier.BASIC, 8).shares().length);
+            assertEquals(0, LedgerPlacement.of(n, gateways, Tier.BASIC, 8).shares().length);
         }
     }
 
@@ -100,7 +100,7 @@
     @Test
     void neighboursThatGoTogetherLeaveAKeeper() {
         for (int customer = 0; customer < 2000; customer++) {
-            Keepers k = Keepers.of(new Talk.Named(customer, 0, customer % 100, 50 + customer % 51), 100, Tier.BASIC, 8);
+            LedgerPlacement k = LedgerPlacement.of(new QuotaMessage.Named(customer, 0, customer % 100, 50 + customer % 51), 100, Tier.BASIC, 8);
             for (int from = 0; from < 100; from++) {
                 int gone = from;
                 assertTrue(IntStream.of(k.books()).anyMatch(g -> Math.floorMod(g - gone, 100) >= 10));
@@ -154,22 +154,22 @@
 
     @Test
     void aGuessLetsInWhatTheStoreFillsBy() {
-        assertEquals(1, Guess.chance(Tier.BASIC, 7, 1, 6000, 3), "never near its quota");
-        assertEquals(1, Guess.chance(Tier.BASIC, 7, 8, 500, 3), "not yet");
-        assertEquals(0.25, Guess.chance(Tier.BASIC, 7, 8, 3000, 3), "two of eight units a second");
-        assertEquals(1, Guess.chance(Tier.ONLY_CAPPED, 0, 100, 3000, 3), "no quota");
+        assertEquals(1, DegradedModeEstimator.chance(Tier.BASIC, 7, 1, 6000, 3), "never near its quota");
+        assertEquals(1, DegradedModeEstimator.chance(Tier.BASIC, 7, 8, 500, 3), "not yet");
+        assertEquals(0.25, DegradedModeEstimator.chance(Tier.BASIC, 7, 8, 3000, 3), "two of eight units a second");
+        assertEquals(1, DegradedModeEstimator.chance(Tier.ONLY_CAPPED, 0, 100, 3000, 3), "no quota");
     }
 
     /** A question that comes again has its verdict; what is given back comes back once. */
     @Test
     void verdictsAreKeptBySerial() {
-        Verdicts v = new Verdicts();
-        Book b = new Book(NAMED, new Keepers(new int[] {99}, new int[0]), Tier.BASIC, null, 0);
-        b.judge(0, 3, 0, Talk.Of.BOTH, 0, FILL);
-        v.keep(0, 65_535, Talk.Verdict.GRANTED, b, 3);
-        assertEquals(Talk.Verdict.GRANTED, v.of(500, 65_535).verdict());
-        assertNull(v.of(500, 65_535 - Verdicts.MOST));
-        assertNull(v.of(Verdicts.KEPT_MS, 65_535), "serials run over");
+        ReplyCache v = new ReplyCache();
+        QuotaLedger b = new QuotaLedger(NAMED, new LedgerPlacement(new int[] {99}, new int[0]), Tier.BASIC, null, 0);
+        b.judge(0, 3, 0, QuotaMessage.Of.BOTH, 0, FILL);
+        v.keep(0, 65_535, QuotaMessage.Verdict.GRANTED, b, 3);
+        assertEquals(QuotaMessage.Verdict.GRANTED, v.of(500, 65_535).verdict());
+        assertNull(v.of(500, 65_535 - ReplyCache.MOST));
+        assertNull(v.of(ReplyCache.KEPT_MS, 65_535), "serials run over");
         v.back(500, 65_535);
         v.back(500, 65_535);
         assertEquals(7, b.level());
--- a/gateway/src/test/java/marlford/gateway/quota/PeerLifeTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/PeerIncarnationTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Lives whose numbers are right are told at once, and no other life is unheard for long. */
-class PeerLifeTest {
+class PeerIncarnationTest {
     private static final double NOW = 1e8;
     private static final int FIRST = (int) NOW - 50_000;
     private static final double STEP_MS = 300;
 
-    private static PeerLife known() {
-        PeerLife life = new PeerLife();
+    private static PeerIncarnation known() {
+        PeerIncarnation life = new PeerIncarnation();
         assertTrue(life.hears(NOW, FIRST));
         return life;
     }
 
     @Test
     void aLaterLifeBeginsAtOnceAndTheFormerIsOver() {
-        PeerLife life = known();
+        PeerIncarnation life = known();
         assertTrue(life.hears(NOW + 1, FIRST + 2000));
         assertFalse(life.hears(NOW + 2, FIRST)); // overtaken on the way
         assertFalse(life.hears(NOW + 5000, FIRST));
@@ -33,20 +33,20 @@
     @ParameterizedTest
     @ValueSource(ints = {-3_600_000, -3000, 3_600_000 + 50_000})
     void aLifeWithAWrongNumberIsHeardAfterASecond(int apart) {
-        PeerLife life = known();
+        PeerIncarnation life = known();
         double at = NOW;
         while (!life.hears(at, FIRST + apart)) {
-            assertTrue(at < NOW + PeerLife.CONFIRM_MS + STEP_MS, "unheard");
+            assertTrue(at < NOW + PeerIncarnation.CONFIRM_MS + STEP_MS, "unheard");
             at += STEP_MS;
         }
-        assertTrue(at >= NOW + PeerLife.CONFIRM_MS);
+        assertTrue(at >= NOW + PeerIncarnation.CONFIRM_MS);
         assertFalse(life.hears(at, FIRST));
     }
 
     @Test
     void aStrayMessageBeginsNoLifeWhileThePresentOneSpeaks() {
-        PeerLife life = known();
-        for (double at = NOW; at < NOW + 20 * PeerLife.CONFIRM_MS; at += STEP_MS) {
+        PeerIncarnation life = known();
+        for (double at = NOW; at < NOW + 20 * PeerIncarnation.CONFIRM_MS; at += STEP_MS) {
             assertFalse(life.hears(at, FIRST - 1000));
             assertTrue(life.hears(at + 1, FIRST));
         }
@@ -54,7 +54,7 @@
 
     @Test
     void numbersRunOver() {
-        PeerLife life = new PeerLife();
+        PeerIncarnation life = new PeerIncarnation();
         double late = Integer.MAX_VALUE - 10.0;
         assertTrue(life.hears(late, Integer.MAX_VALUE - 1000));
         assertTrue(life.hears(late + 5000, Integer.MIN_VALUE + 100));
--- a/gateway/src/test/java/marlford/gateway/quota/QuietDayTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/QuietDayTest.java
@@ -23,7 +23,7 @@
         for (int i = 0; i < customers; i++) {
             boolean capped = i % 4 == 0;
             double share = i % 10 == 0 ? 3 : i % 5 == 0 ? 0.95 : 0.45; // of its quota
-            Terms terms = capped ? Tier.CAPPED : Tier.BASIC;
+            QuotaTerms terms = capped ? Tier.CAPPED : Tier.BASIC;
             t.customer(terms, Math.min(gateways, 4), share * terms.rate());
         }
         return t;
--- a/gateway/src/test/java/marlford/gateway/quota/ExchangeTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/QuotaCoordinatorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Tiers of a hundred and more in virtual time, through all that befalls them. */
-class ExchangeTest {
+class QuotaCoordinatorTest {
     private static final long SEED = 35;
     private static final double LOSS = 0.05;
     private static final double NOW = 1_000_000;
@@ -141,30 +141,30 @@
         assertTrue(c.lowest < 30, "never used: " + c.lowest);
     }
 
-    private static Exchange alone(int me, int gateways, List<Talk> said, List<Exchange.Decision> decided) {
-        Exchange.Config config = new Exchange.Config(me, gateways, 40, Tier.MOST_UNITS, 1000, List.of(Tier.BASIC, Tier.CAPPED));
-        return new Exchange(NOW, config, (int) NOW, new Random(SEED), new Exchange.Link() {
+    private static QuotaCoordinator alone(int me, int gateways, List<QuotaMessage> said, List<QuotaCoordinator.Decision> decided) {
+        QuotaCoordinator.Config config = new QuotaCoordinator.Config(me, gateways, 40, Tier.MOST_UNITS, 1000, List.of(Tier.BASIC, Tier.CAPPED));
+        return new QuotaCoordinator(NOW, config, (int) NOW, new Random(SEED), new QuotaCoordinator.Link() {
             @Override
             public void tell(int peer, byte[] data) {
-                said.add(Talk.read(data));
+                said.add(QuotaMessage.read(data));
             }
 
             @Override
-            public void decided(double now, String id, Exchange.Decision decision) {
+            public void decided(double now, String id, QuotaCoordinator.Decision decision) {
                 decided.add(decision);
             }
         });
     }
 
-    private static Talk from(int life, int count, Talk.Item... items) {
-        return new Talk(life, (int) NOW & Talk.WORD, count, List.of(items));
+    private static QuotaMessage from(int life, int count, QuotaMessage.Item... items) {
+        return new QuotaMessage(life, (int) NOW & QuotaMessage.WORD, count, List.of(items));
     }
 
     /** A customer whose first keeper is that gateway of a hundred. */
-    private static Talk.Named keptBy(int gateway) {
+    private static QuotaMessage.Named keptBy(int gateway) {
         for (int customer = 1;; customer++) {
-            Talk.Named n = new Talk.Named(customer, 0, 0, 100);
-            if (Keepers.of(n, 100, Tier.BASIC, 8).books()[0] == gateway) {
+            QuotaMessage.Named n = new QuotaMessage.Named(customer, 0, 0, 100);
+            if (LedgerPlacement.of(n, 100, Tier.BASIC, 8).books()[0] == gateway) {
                 return n;
             }
         }
@@ -173,34 +173,34 @@
     /** Replayed, of an older life, of a life to come, of a set that cannot be: no book changes, no verdict twice. */
     @Test
     void whatIsReplayedOrImpossibleTakesNothing() {
-        List<Talk> said = new ArrayList<>();
-        Exchange e = alone(5, 100, said, new ArrayList<>());
-        Talk.Named named = keptBy(5);
-        Talk asked = from(500, 1, new Talk.Ask(9, named, 3, 0, Talk.Of.BOTH));
+        List<QuotaMessage> said = new ArrayList<>();
+        QuotaCoordinator e = alone(5, 100, said, new ArrayList<>());
+        QuotaMessage.Named named = keptBy(5);
+        QuotaMessage asked = from(500, 1, new QuotaMessage.Ask(9, named, 3, 0, QuotaMessage.Of.BOTH));
         e.heard(NOW, 7, asked);
         e.heard(NOW, 7, asked);
-        e.heard(NOW, 7, from(499, 2, new Talk.Ask(10, named, 3, 0, Talk.Of.BOTH)));
-        e.heard(NOW, 7, from((int) NOW + 100_000, 3, new Talk.Ask(11, named, 3, 0, Talk.Of.BOTH)));
-        e.heard(NOW, 7, from(500, 4, new Talk.Ask(12, new Talk.Named(3, 0, 90, 5), 3, 0, Talk.Of.BOTH)));
-        e.heard(NOW, 7, from(500, 5, new Talk.Ask(13, new Talk.Named(4, 99, 0, 100), 3, 0, Talk.Of.BOTH)));
-        List<Talk.Answer> answers = said.stream().flatMap(t -> t.items().stream()).map(i -> (Talk.Answer) i).toList();
-        assertEquals(List.of(9, 9, 12, 13), answers.stream().map(Talk.Answer::serial).toList());
+        e.heard(NOW, 7, from(499, 2, new QuotaMessage.Ask(10, named, 3, 0, QuotaMessage.Of.BOTH)));
+        e.heard(NOW, 7, from((int) NOW + 100_000, 3, new QuotaMessage.Ask(11, named, 3, 0, QuotaMessage.Of.BOTH)));
+        e.heard(NOW, 7, from(500, 4, new QuotaMessage.Ask(12, new QuotaMessage.Named(3, 0, 90, 5), 3, 0, QuotaMessage.Of.BOTH)));
+        e.heard(NOW, 7, from(500, 5, new QuotaMessage.Ask(13, new QuotaMessage.Named(4, 99, 0, 100), 3, 0, QuotaMessage.Of.BOTH)));
+        List<QuotaMessage.Answer> answers = said.stream().flatMap(t -> t.items().stream()).map(i -> (QuotaMessage.Answer) i).toList();
+        assertEquals(List.of(9, 9, 12, 13), answers.stream().map(QuotaMessage.Answer::serial).toList());
         assertEquals(4 / 7.0, answers.get(1).fullness(), 0.006, "three of seven units, once");
-        assertEquals(Talk.Verdict.UNABLE, answers.get(2).verdict());
-        assertEquals(Talk.Verdict.UNABLE, answers.get(3).verdict());
+        assertEquals(QuotaMessage.Verdict.UNABLE, answers.get(2).verdict());
+        assertEquals(QuotaMessage.Verdict.UNABLE, answers.get(3).verdict());
     }
 
     /** An answer that comes after its question was given up sends its units back. */
     @Test
     void aGrantThatNobodyWaitsForGoesBack() {
-        List<Talk> said = new ArrayList<>();
-        List<Exchange.Decision> decided = new ArrayList<>();
-        Exchange e = alone(5, 100, said, decided);
+        List<QuotaMessage> said = new ArrayList<>();
+        List<QuotaCoordinator.Decision> decided = new ArrayList<>();
+        QuotaCoordinator e = alone(5, 100, said, decided);
         e.want(NOW, "r", keptBy(9), 2, NOW + 900);
-        Talk.Ask ask = (Talk.Ask) said.get(0).items().get(0);
+        QuotaMessage.Ask ask = (QuotaMessage.Ask) said.get(0).items().get(0);
         e.gone("r");
-        e.heard(NOW + 5, 9, from(500, 1, new Talk.Answer(ask.serial(), Talk.Verdict.GRANTED, 0.5, 1, false)));
-        assertEquals(new Talk.Back(ask.serial()), said.get(1).items().get(0));
+        e.heard(NOW + 5, 9, from(500, 1, new QuotaMessage.Answer(ask.serial(), QuotaMessage.Verdict.GRANTED, 0.5, 1, false)));
+        assertEquals(new QuotaMessage.Back(ask.serial()), said.get(1).items().get(0));
         assertEquals(List.of(), decided);
     }
 
@@ -211,7 +211,7 @@
         Tier.Customer c = t.customer(Tier.BASIC, 100, 8);
         t.pass(4000);
         t.mark();
-        int keeper = Keepers.of(c.named, 100, Tier.BASIC, 8).books()[0];
+        int keeper = LedgerPlacement.of(c.named, 100, Tier.BASIC, 8).books()[0];
         t.kill(keeper, 1500);
         t.pass(4000);
         double most = c.allowed + 8 * 0.5; // docs/design/hundreds.md: what the stand-in was not told yet
@@ -235,11 +235,11 @@
     /** Beyond its bound a gateway keeps no book and asks for none: it refuses, and forgets nobody for it. */
     @Test
     void customersBeyondTheBoundAreRefused() {
-        List<Talk> said = new ArrayList<>();
-        List<Exchange.Decision> decided = new ArrayList<>();
-        Exchange e = alone(5, 100, said, decided);
+        List<QuotaMessage> said = new ArrayList<>();
+        List<QuotaCoordinator.Decision> decided = new ArrayList<>();
+        QuotaCoordinator e = alone(5, 100, said, decided);
         for (int customer = 1; customer <= 100_000; customer++) {
-            e.want(NOW, "r" + customer, new Talk.Named(customer, 0, 0, 100), 1, NOW + 900);
+            e.want(NOW, "r" + customer, new QuotaMessage.Named(customer, 0, 0, 100), 1, NOW + 900);
         }
         assertTrue(decided.stream().filter(d -> !d.in()).count() >= 99_000, decided.size() + " decided");
         assertTrue(said.size() <= 16, said.size() + " questions");
@@ -248,10 +248,10 @@
     /** Beside older versions, which split ceilings otherwise, a share is at most their even part. */
     @Test
     void besideAnOlderVersionASharesIsAtMostItsEvenPart() {
-        List<Exchange.Decision> decided = new ArrayList<>();
-        Exchange e = alone(0, 100, new ArrayList<>(), decided);
+        List<QuotaCoordinator.Decision> decided = new ArrayList<>();
+        QuotaCoordinator e = alone(0, 100, new ArrayList<>(), decided);
         e.heard(NOW, 3, null);
-        Talk.Named five = new Talk.Named(1, 1, 0, 5);
+        QuotaMessage.Named five = new QuotaMessage.Named(1, 1, 0, 5);
         double got = 0;
         for (int i = 0; i < 20; i++) { // in a minute nobody answers, so the guess decides and the own share bounds it
             double now = NOW + 10_000 + 20 * i;
--- a/gateway/src/test/java/marlford/gateway/quota/Tier.java
+++ b/gateway/src/test/java/marlford/gateway/quota/Tier.java
@@ -20,13 +20,13 @@
  * unused, how long decisions took, and how far below nothing a ceiling's true store ever was.
  */
 final class Tier {
-    static final Terms BASIC = new Terms(2, 7, 0, 0);
-    static final Terms CAPPED = new Terms(15, 26, 35, 57);
+    static final QuotaTerms BASIC = new QuotaTerms(2, 7, 0, 0);
+    static final QuotaTerms CAPPED = new QuotaTerms(15, 26, 35, 57);
     /** As CAPPED, without a ceiling. */
-    static final Terms LARGE = new Terms(15, 26, 0, 0);
-    static final Terms ONLY_CAPPED = new Terms(0, 0, 35, 57);
+    static final QuotaTerms LARGE = new QuotaTerms(15, 26, 0, 0);
+    static final QuotaTerms ONLY_CAPPED = new QuotaTerms(0, 0, 35, 57);
     static final double MOST_UNITS = 4;
-    private static final List<Terms> PLANS = List.of(BASIC, CAPPED, ONLY_CAPPED, LARGE);
+    private static final List<QuotaTerms> PLANS = List.of(BASIC, CAPPED, ONLY_CAPPED, LARGE);
     private static final int INTAKE = 40;
     private static final double STEP_MS = 5;
     private static final double BEAT_MS = 20;
@@ -40,8 +40,8 @@
 
     /** One customer and the stores as they truly are. */
     static final class Customer {
-        final Talk.Named named;
-        final Terms terms;
+        final QuotaMessage.Named named;
+        final QuotaTerms terms;
         double perSecond; // units a second asked for
         double level;
         double ceiling;
@@ -50,7 +50,7 @@
         double sent;
         double allowed; // units that came into the quota's store, its first filling with them
 
-        Customer(Talk.Named named, Terms terms, double now) {
+        Customer(QuotaMessage.Named named, QuotaTerms terms, double now) {
             this.named = named;
             this.terms = terms;
             level = allowed = terms.burst();
@@ -70,7 +70,7 @@
     final List<Customer> customers = new ArrayList<>();
     final List<Double> waits = new ArrayList<>();
     final List<Double> leasedWaits = new ArrayList<>(); // of tries at a gateway that held a lease of that customer's quota
-    private final Exchange[] gateways;
+    private final QuotaCoordinator[] gateways;
     private final double[] upAt;
     private final double[] room; // of the intake
     private final Random random;
@@ -93,14 +93,14 @@
     long bytes;
     double beyond;
     double sent;
-    final Map<Exchange.Why, Integer> refusedFor = new EnumMap<>(Exchange.Why.class);
+    final Map<QuotaCoordinator.Why, Integer> refusedFor = new EnumMap<>(QuotaCoordinator.Why.class);
     final LatePolicy late = new LatePolicy();
     private ToIntFunction<Customer> through = c -> -1;
 
     Tier(int count, double loss, long seed) {
         this.loss = loss;
         random = new Random(seed);
-        gateways = new Exchange[count];
+        gateways = new QuotaCoordinator[count];
         upAt = new double[count];
         room = new double[count];
         for (int i = 0; i < count; i++) {
@@ -110,18 +110,18 @@
     }
 
     /** A customer through {@code spread} gateways that asks for so many units a second. */
-    Customer customer(Terms terms, int spread, double perSecond) {
+    Customer customer(QuotaTerms terms, int spread, double perSecond) {
         int plan = PLANS.indexOf(terms);
         int first = random.nextInt(gateways.length);
-        Customer c = new Customer(new Talk.Named(customers.size() + 1, plan, first, spread), terms, now);
+        Customer c = new Customer(new QuotaMessage.Named(customers.size() + 1, plan, first, spread), terms, now);
         c.perSecond = perSecond;
         customers.add(c);
         return c;
     }
 
     private void start(int i) {
-        Exchange.Config config = new Exchange.Config(i, gateways.length, INTAKE, MOST_UNITS, 20_000, PLANS);
-        gateways[i] = new Exchange(now, config, (int) (long) now, new Random(random.nextLong()), new Exchange.Link() {
+        QuotaCoordinator.Config config = new QuotaCoordinator.Config(i, gateways.length, INTAKE, MOST_UNITS, 20_000, PLANS);
+        gateways[i] = new QuotaCoordinator(now, config, (int) (long) now, new Random(random.nextLong()), new QuotaCoordinator.Link() {
             @Override
             public void tell(int peer, byte[] data) {
                 for (int to = 0; to < gateways.length; to++) {
@@ -132,7 +132,7 @@
             }
 
             @Override
-            public void decided(double at, String id, Exchange.Decision d) {
+            public void decided(double at, String id, QuotaCoordinator.Decision d) {
                 settle(id, d);
             }
         });
@@ -160,7 +160,7 @@
         return gateways.length;
     }
 
-    Exchange gateway(int i) {
+    QuotaCoordinator gateway(int i) {
         return gateways[i];
     }
 
@@ -170,29 +170,29 @@
     }
 
     /** As the version before leases reads it: whatever is newer it must never get. */
-    private static Talk readByOlder(Talk talk) {
-        List<Talk.Item> items = new ArrayList<>();
-        for (Talk.Item item : talk.items()) {
-            if (item instanceof Talk.LeaseCapable) {
-                items.add(new Talk.Presence(Talk.State.HERE));
-                items.add(new Talk.Presence(Talk.State.HERE));
+    private static QuotaMessage readByOlder(QuotaMessage message) {
+        List<QuotaMessage.Item> items = new ArrayList<>();
+        for (QuotaMessage.Item item : message.items()) {
+            if (item instanceof QuotaMessage.LeaseCapable) {
+                items.add(new QuotaMessage.Presence(QuotaMessage.State.HERE));
+                items.add(new QuotaMessage.Presence(QuotaMessage.State.HERE));
             } else if (isNew(item)) {
                 throw new AssertionError("an older version can't read " + item);
             } else {
                 items.add(item);
             }
         }
-        return new Talk(talk.life(), talk.toLife(), talk.count(), items);
+        return new QuotaMessage(message.life(), message.toLife(), message.count(), items);
     }
 
-    private static boolean isNew(Talk.Item item) {
-        return item instanceof Talk.LeaseRequest || item instanceof Talk.LeaseGrant || item instanceof Talk.UsageReport;
+    private static boolean isNew(QuotaMessage.Item item) {
+        return item instanceof QuotaMessage.LeaseRequest || item instanceof QuotaMessage.LeaseGrant || item instanceof QuotaMessage.UsageReport;
     }
 
     private static byte[] saidByOlder(byte[] data) {
-        Talk talk = Talk.read(data);
-        List<Talk.Item> items = talk.items().stream().filter(i -> !(i instanceof Talk.LeaseCapable)).toList();
-        return new Talk(talk.life(), talk.toLife(), talk.count(), items).bytes();
+        QuotaMessage message = QuotaMessage.read(data);
+        List<QuotaMessage.Item> items = message.items().stream().filter(i -> !(i instanceof QuotaMessage.LeaseCapable)).toList();
+        return new QuotaMessage(message.life(), message.toLife(), message.count(), items).bytes();
     }
 
     private void post(int from, int to, byte[] said) {
@@ -204,7 +204,7 @@
         }
     }
 
-    private void settle(String id, Exchange.Decision d) {
+    private void settle(String id, QuotaCoordinator.Decision d) {
         Open o = open.remove(id);
         if (o == null) {
             throw new AssertionError(id + " was decided twice, or never asked");
@@ -285,7 +285,7 @@
             }
             if (now - beatAt >= BEAT_MS) {
                 beatAt = now;
-                for (Exchange g : gateways) {
+                for (QuotaCoordinator g : gateways) {
                     if (g != null) {
                         g.beat(now);
                     }
@@ -308,11 +308,11 @@
             return;
         }
         room[m.to()]--;
-        Talk talk = Talk.read(m.data());
-        if (talk == null) {
+        QuotaMessage message = QuotaMessage.read(m.data());
+        if (message == null) {
             throw new AssertionError("a message that can't be read");
         }
-        gateways[m.to()].heard(now, m.from(), older.contains(m.to()) ? readByOlder(talk) : talk);
+        gateways[m.to()].heard(now, m.from(), older.contains(m.to()) ? readByOlder(message) : message);
     }
 
     /** Of each unit that was sent on, what went beyond quotas at the full price of it; the same of the late policy. */
--- a/gateway/src/test/java/marlford/gateway/start/StartBudgetTest.java
+++ b/gateway/src/test/java/marlford/gateway/start/StartBudgetTest.java
@@ -166,8 +166,8 @@
     @Test
     void theAgeIsReadFromTheSystemsOwnCount() {
         String rest = " S 1 2 2 0 -1 4194304 9 0 0 0 1 2 0 0 20 0 1 0 ";
-        assertEquals(1250, Birth.age("77 (a) b)" + rest + "1000 8", "11.25 20.00\n"));
-        assertEquals(0, Birth.age("77 (sh)" + rest + "1000 8", "9.99 20.00\n"));
-        assertTrue(Birth.ofThisProcess().ageMs() >= 0);
+        assertEquals(1250, ProcessStartTime.age("77 (a) b)" + rest + "1000 8", "11.25 20.00\n"));
+        assertEquals(0, ProcessStartTime.age("77 (sh)" + rest + "1000 8", "9.99 20.00\n"));
+        assertTrue(ProcessStartTime.ofThisProcess().ageMs() >= 0);
     }
 }
--- a/storm/src/main/java/marlford/storm/scale/Customer.java
+++ b/storm/src/main/java/marlford/storm/scale/Customer.java
@@ -1,7 +1,7 @@
 package marlford.storm.scale;
 
-import marlford.gateway.quota.Talk;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.quota.QuotaMessage;
+import marlford.gateway.quota.QuotaTerms;
 
 /** One customer and its stores as they truly are, which no gateway sees. */
 final class Customer {
@@ -9,15 +9,15 @@
     private static final double MS_PER_S = 1000;
 
     final int index;
-    final Talk.Named named;
-    final Terms terms;
+    final QuotaMessage.Named named;
+    final QuotaTerms terms;
     private double unitsPerSecond;
     private double quota;
     private double ceiling;
     private double refilledAt;
     private double lowestCeiling;
 
-    Customer(int index, Talk.Named named, Terms terms, double unitsPerSecond) {
+    Customer(int index, QuotaMessage.Named named, QuotaTerms terms, double unitsPerSecond) {
         this.index = index;
         this.named = named;
         this.terms = terms;
--- a/storm/src/main/java/marlford/storm/scale/HollowGateway.java
+++ b/storm/src/main/java/marlford/storm/scale/HollowGateway.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import marlford.gateway.quota.Exchange;
-import marlford.gateway.quota.Talk;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.quota.QuotaCoordinator;
+import marlford.gateway.quota.QuotaMessage;
+import marlford.gateway.quota.QuotaTerms;
 import marlford.storm.scale.PartTimer.Part;
 
 /**
@@ -30,11 +30,11 @@
         /** @param peer the receiver's number, or below 0 for all others */
         void send(int from, int peer, byte[] data);
 
-        void decided(double now, int gateway, Request request, Exchange.Decision decision);
+        void decided(double now, int gateway, Request request, QuotaCoordinator.Decision decision);
     }
 
     private final int number;
-    private final Exchange quotas;
+    private final QuotaCoordinator quotas;
     private final PartTimer timer;
     private final Map<String, Request> open = new HashMap<>();
     private final BitSet customersSeen = new BitSet();
@@ -46,23 +46,23 @@
             int number,
             int gateways,
             double intakePerSecond,
-            List<Terms> plans,
+            List<QuotaTerms> plans,
             long seed,
             PartTimer timer,
             Surroundings surroundings) {
         this.number = number;
         this.timer = timer;
-        Exchange.Config config =
-                new Exchange.Config(number, gateways, intakePerSecond, Workload.MAX_UNITS, CUSTOMERS_MAX, plans);
+        QuotaCoordinator.Config config = new QuotaCoordinator.Config(
+                number, gateways, intakePerSecond, Workload.MAX_UNITS, CUSTOMERS_MAX, plans);
         int life = (int) (long) now;
-        quotas = new Exchange(now, config, life, new Random(seed), new Exchange.Link() {
+        quotas = new QuotaCoordinator(now, config, life, new Random(seed), new QuotaCoordinator.Link() {
             @Override
             public void tell(int peer, byte[] data) {
                 surroundings.send(number, peer, data);
             }
 
             @Override
-            public void decided(double at, String id, Exchange.Decision decision) {
+            public void decided(double at, String id, QuotaCoordinator.Decision decision) {
                 Request request = open.remove(id);
                 if (request == null) {
                     throw new IllegalStateException("request " + id + " was decided twice, or never asked");
@@ -83,11 +83,11 @@
     void receive(double now, int from, byte[] data) {
         peersHeard.set(from);
         timer.time(Part.MESSAGES, () -> {
-            Talk talk = Talk.read(data);
-            if (talk == null) {
+            QuotaMessage message = QuotaMessage.read(data);
+            if (message == null) {
                 throw new IllegalStateException("gateway " + number + " can't read a message of gateway " + from);
             }
-            quotas.heard(now, from, talk);
+            quotas.heard(now, from, message);
         });
     }
 
--- a/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
+++ b/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import marlford.gateway.quota.Exchange;
-import marlford.gateway.quota.Talk;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.quota.QuotaCoordinator;
+import marlford.gateway.quota.QuotaMessage;
+import marlford.gateway.quota.QuotaTerms;
 
 /**
  * A customer of real processes.
@@ -14,9 +14,9 @@
  * @param terms of its plan
  * @param unitsPerSecond that it asks for
  */
-record LoadedCustomer(Talk.Named named, Terms terms, double unitsPerSecond) {
+record LoadedCustomer(QuotaMessage.Named named, QuotaTerms terms, double unitsPerSecond) {
     /** The plans: a quota alone, a quota and a ceiling, a ceiling alone. */
-    static final List<Terms> PLANS = List.of(Workload.MIDDLE, Workload.CAPPED, Workload.ONLY_CAPPED);
+    static final List<QuotaTerms> PLANS = List.of(Workload.MIDDLE, Workload.CAPPED, Workload.ONLY_CAPPED);
 
     /** Gateways that a customer's requests come through. */
     static final int SPREAD = 3;
@@ -38,11 +38,11 @@
         double sum = 0;
         for (int i = 0; sum < unitsPerSecond; i++) {
             int plan = i % PLANS.size();
-            Terms terms = PLANS.get(plan);
+            QuotaTerms terms = PLANS.get(plan);
             double rate = terms.rate() > 0 ? terms.rate() : terms.ceilingRate();
             double demand = rate * demands.get(i / PLANS.size() % demands.size());
             int first = Math.min(i % sets * SPREAD, processes - SPREAD);
-            customers.add(new LoadedCustomer(new Talk.Named(i + 1L, plan, first, SPREAD), terms, demand));
+            customers.add(new LoadedCustomer(new QuotaMessage.Named(i + 1L, plan, first, SPREAD), terms, demand));
             sum += demand;
         }
         return customers;
@@ -69,17 +69,18 @@
     int keeper(int gateways, double mailPerSecond) {
         int asker = Math.floorMod(named.first() + named.spread(), gateways); // outside the set
         List<Integer> keepers = new ArrayList<>();
-        Exchange.Config config = new Exchange.Config(asker, gateways, mailPerSecond, Workload.MAX_UNITS, MOST, PLANS);
-        Exchange quotas = new Exchange(START_MS, config, 1, new Random(1), new Exchange.Link() {
+        QuotaCoordinator.Config config =
+                new QuotaCoordinator.Config(asker, gateways, mailPerSecond, Workload.MAX_UNITS, MOST, PLANS);
+        QuotaCoordinator quotas = new QuotaCoordinator(START_MS, config, 1, new Random(1), new QuotaCoordinator.Link() {
             @Override
             public void tell(int peer, byte[] data) {
-                if (Talk.read(data).items().stream().anyMatch(Talk.Ask.class::isInstance)) {
+                if (QuotaMessage.read(data).items().stream().anyMatch(QuotaMessage.Ask.class::isInstance)) {
                     keepers.add(peer);
                 }
             }
 
             @Override
-            public void decided(double now, String id, Exchange.Decision decision) {
+            public void decided(double now, String id, QuotaCoordinator.Decision decision) {
                 throw new IllegalStateException("decided outside the customer's set, without its keeper");
             }
         });
--- a/storm/src/main/java/marlford/storm/scale/LoadedFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/LoadedFleet.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.QuotaCoordinator;
 
 /**
  * A few real processes of the program under load, with quota leases. A keeper of customers' books and a gateway that holds
@@ -68,7 +68,7 @@
     /** The largest intake, up to the one that fleets are designed for, at which so many gateways lease. */
     static double mailPerSecond(int gateways) {
         int mail = ProcessSettings.MAIL_PER_S;
-        while (mail > 1 && !Exchange.isFor(gateways, mail)) {
+        while (mail > 1 && !QuotaCoordinator.isFor(gateways, mail)) {
             mail--;
         }
         return mail;
--- a/storm/src/main/java/marlford/storm/scale/LoneGateway.java
+++ b/storm/src/main/java/marlford/storm/scale/LoneGateway.java
@@ -5,22 +5,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import marlford.gateway.Brain;
-import marlford.gateway.Gateway.Actions;
-import marlford.gateway.Gateway.AttemptResult;
-import marlford.gateway.Gateway.Effect;
-import marlford.gateway.Gateway.Host;
-import marlford.gateway.Gateway.HostState;
-import marlford.gateway.Gateway.Limits;
-import marlford.gateway.Gateway.ListKind;
-import marlford.gateway.Gateway.Outcome;
-import marlford.gateway.Gateway.Plan;
-import marlford.gateway.Gateway.Request;
-import marlford.gateway.Gateway.RequestClass;
-import marlford.gateway.Gateway.Rules;
-import marlford.gateway.Gateway.Scope;
-import marlford.gateway.Gateway.Settings;
-import marlford.gateway.Gateway.Sharing;
+import marlford.gateway.DecisionEngine;
+import marlford.gateway.EngineApi.Actions;
+import marlford.gateway.EngineApi.AttemptResult;
+import marlford.gateway.EngineApi.Effect;
+import marlford.gateway.EngineApi.Host;
+import marlford.gateway.EngineApi.HostState;
+import marlford.gateway.EngineApi.Limits;
+import marlford.gateway.EngineApi.ListKind;
+import marlford.gateway.EngineApi.Outcome;
+import marlford.gateway.EngineApi.Plan;
+import marlford.gateway.EngineApi.Request;
+import marlford.gateway.EngineApi.RequestClass;
+import marlford.gateway.EngineApi.Rules;
+import marlford.gateway.EngineApi.Scope;
+import marlford.gateway.EngineApi.Settings;
+import marlford.gateway.EngineApi.Sharing;
 import marlford.gateway.list.HostList;
 import marlford.storm.scale.PartTimer.Part;
 
@@ -51,7 +51,7 @@
     private final EventQueue events = new EventQueue(START_MS);
     private final PartTimer timer = new PartTimer(System::nanoTime);
     private final SplittableRandom random;
-    private final Brain brain = new Brain(this);
+    private final DecisionEngine engine = new DecisionEngine(this);
     private final HostList list = new HostList(HostList.Limits.DEFAULT, START_MS);
     private final Map<String, Integer> attempts = new LinkedHashMap<>(); // of open requests
     private final Map<String, Double> figures = new LinkedHashMap<>();
@@ -71,7 +71,7 @@
 
     private Map<String, Double> play() {
         long heapBefore = Heap.usedBytes();
-        brain.start(events.now(), settings());
+        engine.onStart(events.now(), settings());
         long heapStarted = Heap.usedBytes();
         tellWholeList();
         figures.put("heap_bytes_module", (double) (heapStarted - heapBefore));
@@ -151,7 +151,7 @@
         timer.time(Part.LIST, () -> {
             HostList.Told told = list.heard(events.now(), AGENT, ++version, whole, hosts);
             if (told.taken()) {
-                brain.hosts(events.now(), told.kind(), told.hosts());
+                engine.onHosts(events.now(), told.kind(), told.hosts());
             }
         });
     }
@@ -160,7 +160,7 @@
         timer.time(Part.LIST, () -> {
             List<Host> changed = list.review(events.now());
             if (!changed.isEmpty()) {
-                brain.hosts(events.now(), ListKind.CHANGES, changed);
+                engine.onHosts(events.now(), ListKind.CHANGES, changed);
             }
         });
         events.after(LIST_REVIEW_MS, this::review);
@@ -202,13 +202,13 @@
         double now = events.now();
         Request request =
                 new Request(id, now + DEADLINE_MS, now, false, CLASS, random.nextLong(CUSTOMERS), PLAN, 1, 0, 1);
-        timer.time(Part.DECISION, () -> brain.request(now, request));
+        timer.time(Part.DECISION, () -> engine.onRequest(now, request));
     }
 
     private void answer(String id, int attempt, String host) {
         attempts.remove(id);
         AttemptResult result = new AttemptResult(id, attempt, host, Outcome.OK, ANSWER_MS, true, 0, 0, new double[0]);
-        timer.time(Part.DECISION, () -> brain.attemptEnded(events.now(), result));
+        timer.time(Part.DECISION, () -> engine.onAttemptEnded(events.now(), result));
     }
 
     // ---- what the decision module does
@@ -236,20 +236,20 @@
     }
 
     @Override
-    public void timer(double delayMs, String token) {
-        events.after(delayMs, () -> timer.time(Part.BEAT, () -> brain.timer(events.now(), token)));
+    public void startTimer(double delayMs, String token) {
+        events.after(delayMs, () -> timer.time(Part.BEAT, () -> engine.onTimer(events.now(), token)));
     }
 
     @Override
     public void probe(String host) {
-        events.after(ANSWER_MS, () -> brain.probed(events.now(), host, Outcome.OK, ANSWER_MS, new double[0]));
+        events.after(ANSWER_MS, () -> engine.onProbeResult(events.now(), host, Outcome.OK, ANSWER_MS, new double[0]));
     }
 
     @Override
-    public void tell(int peer, byte[] data) {}
+    public void sendToPeer(int peer, byte[] data) {}
 
     @Override
-    public void count(String counter, double amount, double lifetimeMs) {}
+    public void addToCounter(String counter, double amount, double lifetimeMs) {}
 
     @Override
     public void watchHosts() {}
--- a/storm/src/main/java/marlford/storm/scale/LoopFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/LoopFleet.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
-import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.QuotaCoordinator;
 import marlford.storm.scale.PartTimer.Part;
 
 /**
@@ -237,7 +237,8 @@
         }
 
         @Override
-        public void decided(double now, int decider, HollowGateway.Request request, Exchange.Decision decision) {
+        public void decided(
+                double now, int decider, HollowGateway.Request request, QuotaCoordinator.Decision decision) {
             waits.add(now - request.askedAt());
             letIn += decision.in() ? 1 : 0;
         }
--- a/storm/src/main/java/marlford/storm/scale/ProcessFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/ProcessFleet.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.quota.QuotaTerms;
 
 /** A few real processes of the program, idle, beside a stand-in for discovery; the other peers are addresses only. */
 final class ProcessFleet implements Closeable {
@@ -20,7 +20,7 @@
     private static final long LOOK_MS = 20;
     private static final double MS_PER_S = 1000;
     private static final double WAITED_IN_VAIN = -1;
-    private static final Terms UNLIMITED = new Terms(1_000_000, 1_000_000, 0, 0);
+    private static final QuotaTerms UNLIMITED = new QuotaTerms(1_000_000, 1_000_000, 0, 0);
 
     private final DiscoveryStub discovery;
     private final int hosts;
--- a/storm/src/main/java/marlford/storm/scale/ProcessSettings.java
+++ b/storm/src/main/java/marlford/storm/scale/ProcessSettings.java
@@ -9,7 +9,7 @@
 import java.net.ServerSocket;
 import java.util.ArrayList;
 import java.util.List;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.quota.QuotaTerms;
 
 /**
  * What the configurations of real processes have in common.
@@ -19,7 +19,7 @@
  * @param mailPerSecond messages that each of them takes in
  * @param plans in the order of their numbers
  */
-record ProcessSettings(String discovery, List<String> peers, double mailPerSecond, List<Terms> plans) {
+record ProcessSettings(String discovery, List<String> peers, double mailPerSecond, List<QuotaTerms> plans) {
     /** The intake of messages that fleets are designed for. */
     static final int MAIL_PER_S = 40;
 
@@ -84,7 +84,7 @@
                 .put("hard_limit_ms", 4000);
         ArrayNode all = settings.putArray("plans");
         for (int i = 0; i < plans.size(); i++) {
-            Terms terms = plans.get(i);
+            QuotaTerms terms = plans.get(i);
             all.addObject()
                     .put("name", planName(i))
                     .put("units_per_s", terms.rate())
--- a/storm/src/main/java/marlford/storm/scale/UnitsAudit.java
+++ b/storm/src/main/java/marlford/storm/scale/UnitsAudit.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.quota.QuotaTerms;
 
 /**
  * Compares the units that came to the hosts with what the customers' quotas and ceilings allow.
@@ -40,7 +40,7 @@
     private UnitsAudit(LoadedCustomer customer, int keeperDeaths) {
         this.customer = customer;
         this.keeperDeaths = keeperDeaths;
-        Terms terms = customer.terms();
+        QuotaTerms terms = customer.terms();
         quota = new TrueStore(terms.rate(), terms.burst(), 0);
         ceiling = new TrueStore(terms.ceilingRate(), terms.ceilingBurst(), 0);
     }
@@ -108,7 +108,7 @@
     }
 
     private void describe(String prefix, double seconds, Map<String, Double> figures) {
-        Terms terms = customer.terms();
+        QuotaTerms terms = customer.terms();
         figures.put(prefix + "asks_per_s", customer.unitsPerSecond());
         figures.put(prefix + "arrived", arrived);
         if (customer.hasQuota()) {
--- a/storm/src/main/java/marlford/storm/scale/VirtualFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/VirtualFleet.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.SplittableRandom;
-import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.QuotaCoordinator;
 
 /** A fleet of hollow gateways in virtual time. All chance comes from the run's seed, so a run can be had again. */
 public final class VirtualFleet {
@@ -245,7 +245,8 @@
         }
 
         @Override
-        public void decided(double now, int gateway, HollowGateway.Request request, Exchange.Decision decision) {
+        public void decided(
+                double now, int gateway, HollowGateway.Request request, QuotaCoordinator.Decision decision) {
             double waitMs = now - request.askedAt();
             if (!decision.in()) {
                 counts.refused(waitMs, request.customer().hasRoom(now));
--- a/storm/src/main/java/marlford/storm/scale/Workload.java
+++ b/storm/src/main/java/marlford/storm/scale/Workload.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import marlford.gateway.quota.Talk;
-import marlford.gateway.quota.Terms;
+import marlford.gateway.quota.QuotaMessage;
+import marlford.gateway.quota.QuotaTerms;
 
 /**
  * Who asks for what, in proportion to the size that is designed for: 78,000 customers before 2,700 gateways that let
@@ -49,11 +49,11 @@
     private static final int PROBE_SOME_EVERY = 5;
     private static final int PROBE_CAPPED_EVERY = 4;
 
-    private static final Terms BASIC = new Terms(2, 7, 0, 0);
-    static final Terms CAPPED = new Terms(15, 26, 35, 57);
-    static final Terms ONLY_CAPPED = new Terms(0, 0, 35, 57);
-    static final Terms MIDDLE = new Terms(15, 26, 0, 0);
-    private static final Terms LARGE = new Terms(35, 57, 0, 0);
+    private static final QuotaTerms BASIC = new QuotaTerms(2, 7, 0, 0);
+    static final QuotaTerms CAPPED = new QuotaTerms(15, 26, 35, 57);
+    static final QuotaTerms ONLY_CAPPED = new QuotaTerms(0, 0, 35, 57);
+    static final QuotaTerms MIDDLE = new QuotaTerms(15, 26, 0, 0);
+    private static final QuotaTerms LARGE = new QuotaTerms(35, 57, 0, 0);
 
     /** Of 29 customers; with demand at 0.7 of the rate they come to 179 requests a second. */
     private static final int BASIC_OF_29 = 8;
@@ -62,7 +62,7 @@
     private static final int CYCLE = 29;
 
     /** The plans, in the order of their numbers. */
-    List<Terms> plans() {
+    List<QuotaTerms> plans() {
         return ceilings ? List.of(BASIC, CAPPED, ONLY_CAPPED) : List.of(BASIC, MIDDLE, LARGE);
     }
 
@@ -98,9 +98,9 @@
 
     private Customer customer(int index, int gateways, SplittableRandom random) {
         int plan = plan(index);
-        Terms terms = plans().get(plan);
+        QuotaTerms terms = plans().get(plan);
         int first = random.nextInt(gateways);
-        Talk.Named named = new Talk.Named(index + 1L, plan, first, Math.min(spread, gateways));
+        QuotaMessage.Named named = new QuotaMessage.Named(index + 1L, plan, first, Math.min(spread, gateways));
         double measure = terms.rate() > 0 ? terms.rate() : terms.ceilingRate();
         return new Customer(index, named, terms, measure * use(index, random));
     }
--- a/storm/src/test/java/marlford/storm/scale/LoadedFleetTest.java
+++ b/storm/src/test/java/marlford/storm/scale/LoadedFleetTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import marlford.gateway.quota.Exchange;
+import marlford.gateway.quota.QuotaCoordinator;
 import org.junit.jupiter.api.Test;
 
 /** What a run of real processes under load is judged by, without the processes. */
@@ -34,8 +34,8 @@
     @Test
     void theIntakeIsOneAtWhichGatewaysLease() {
         assertEquals(6, LoadedFleet.mailPerSecond(PROCESSES));
-        assertTrue(Exchange.isFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES)));
-        assertFalse(Exchange.isFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES) + 1));
+        assertTrue(QuotaCoordinator.isFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES)));
+        assertFalse(QuotaCoordinator.isFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES) + 1));
         assertEquals(ProcessSettings.MAIL_PER_S, LoadedFleet.mailPerSecond(GATEWAYS));
     }
 
