--- a/gateway/src/main/java/marlford/gateway/quota/CeilingShare.java
+++ b/gateway/src/main/java/marlford/gateway/quota/CeilingShare.java
@@ -3,108 +3,120 @@
 import java.util.ArrayDeque;
 
 /**
- * One keeper's share of a customer's ceiling, which it alone gives out.
+ * One gateway's share of a customer's ceiling. Only this gateway grants units of the share.
  *
- * <p><b>Why rule 5 holds.</b> Let S be the units that the true store would let pass, K what is here and L what was given
- * out and may not have been sent on yet, both summed over all keepers. K + L never passes S: it begins at most as high;
- * what is given moves from K to L, and what is sent on leaves L and S alike; S fills at the ceiling's rate while it is
- * below its burst, K at shares of that rate that sum to one. At its burst S fills no more, so each share is kept to its
- * part of the burst <em>less</em> what it has lent. What was given must be sent on within {@link #USE_MS} of its asking and
- * counts here for {@link #LENT_MS} from the giving, which is later; what is not used is lost, never returned.
+ * <p><b>Why the ceiling is never exceeded (rule 5).</b> Let S be the units that the true bucket would let pass, K the units
+ * in the local buckets, and L the units that were granted and may not have been sent on yet, K and L summed over all share
+ * holders. K + L never exceeds S:
+ * <ul>
+ * <li>At the start K + L is at most S.
+ * <li>A grant moves units from K to L; a unit that is sent on leaves L and S alike.
+ * <li>S fills at the ceiling's rate while it is below its burst; K fills at shares of that rate that sum to one.
+ * <li>At its burst S fills no more, so each share is kept to its part of the burst <em>less</em> what it has outstanding.
+ * </ul>
+ * Granted units must be sent on within {@link #SEND_WITHIN_MS} of their query and are counted here for
+ * {@link #OUTSTANDING_MS} from the grant, which is later. Units that are not used are lost, never returned.
  *
- * <p><b>Leases</b> ({@link LeaseLedger}) are given from the same share and count in L. At most {@link #LEASED_MOST} of a share
- * is leased. A later life of this gateway does not know what the former leased: it begins with nothing, and until the last
- * of those leases has ended it keeps its store to what the former could not have leased and leases nothing itself, so that
- * never more than one former life's leases are out. While another process has what fills, nothing is leased, so that no lease
- * outlasts that time.
+ * <p><b>Leases</b> ({@link LeaseLedger}) are granted from the same share and count in L. At most {@link #MAX_LEASED_SHARE}
+ * of a share is leased. A later incarnation of this gateway does not know what the former one leased: it starts with an
+ * empty bucket, and until the last of those leases has ended it keeps its bucket to what the former incarnation could not
+ * have leased and leases nothing itself. Thus the leases of at most one former incarnation are outstanding. While another
+ * process holds the right to fill, nothing is leased, so that no lease outlasts that time.
  *
- * <p>Bound: {@value #LOANS_MAX} loans are told apart; beyond it they are counted together, until the last of them ends.
+ * <p>Bound: {@value #MAX_GRANTS} grants are tracked one by one; beyond that, a new grant is merged with
+ * the latest one, and both expire with the new one.
  */
 final class CeilingShare {
-    /** Within this time of its asking what was given has to be sent on, in milliseconds. */
-    static final double USE_MS = 400;
-    /** So long it counts as lent, from its giving: what is sent late may take its time to connect, in milliseconds. */
-    static final double LENT_MS = 750;
+    /** Time from its query within which a granted unit has to be sent on, in milliseconds. */
+    static final double SEND_WITHIN_MS = 400;
+    /**
+     * Time from the grant for which a unit counts as outstanding, in milliseconds. A request that is sent on at the last
+     * moment may still have to connect.
+     */
+    static final double OUTSTANDING_MS = 750;
     /** Part of a share that may be leased at a time. */
-    static final double LEASED_MOST = 0.5;
-    private static final int LOANS_MAX = 64;
+    static final double MAX_LEASED_SHARE = 0.5;
+    private static final int MAX_GRANTS = 64;
 
-    private record Loan(double till, double units) { }
+    private record Grant(double expiresAt, double units) { }
 
     private final double rate;
-    private final double hold;
-    private final ArrayDeque<Loan> loans = new ArrayDeque<>();
+    private final double capacity;
+    private final ArrayDeque<Grant> grants = new ArrayDeque<>();
     private final LeaseLedger leases = new LeaseLedger();
-    private final double formerTill; // leases of an earlier life
-    private double lent;
-    private double store;
+    private final double formerLeasesEndAt; // End of the last lease that a former incarnation may have granted.
+    private double granted;
+    private double level;
     private double filledAt;
 
     /**
+     * Creates the share.
+     *
      * @param share of the ceiling, 0 to 1
-     * @param since no earlier life of this gateway gave anything out since then
+     * @param since time since which no earlier incarnation of this gateway has granted anything
      */
     CeilingShare(QuotaTerms terms, double share, double since) {
         rate = terms.ceilingRate() * share;
-        hold = terms.ceilingBurst() * share;
-        filledAt = since + LENT_MS; // what the earlier life gave may be on its way until then
-        formerTill = since + LeaseLedger.LENT_MS;
+        capacity = terms.ceilingBurst() * share;
+        filledAt = since + OUTSTANDING_MS; // units granted by the former incarnation may be on their way until then
+        formerLeasesEndAt = since + LeaseLedger.OWNER_TERM_MS;
     }
 
     /**
-     * What fills here at present.
+     * How the bucket fills at present.
      *
-     * @param on false while another process of this gateway has what fills
-     * @param part of this gateway's share of a ceiling, above 0 to 1; below 1 beside gateways that split it otherwise
+     * @param active false while another process of this gateway holds the right to fill
+     * @param fraction of this gateway's share of a ceiling, above 0 to 1; below 1 next to gateways that split it
+     *     differently
      */
-    record Fill(boolean on, double part) { }
+    record FillMode(boolean active, double fraction) { }
 
-    /** Units that may be given now. */
-    double at(double now, Fill fill) {
-        while (!loans.isEmpty() && loans.peekFirst().till() <= now) {
-            lent -= loans.pollFirst().units();
+    /** Returns the units that can be granted now. */
+    double available(double now, FillMode fill) {
+        while (!grants.isEmpty() && grants.peekFirst().expiresAt() <= now) {
+            granted -= grants.pollFirst().units();
         }
-        if (loans.isEmpty()) {
-            lent = 0; // no rest of rounding
+        if (grants.isEmpty()) {
+            granted = 0; // discards rounding residue
         }
-        double filled = Math.max(0, now - filledAt) / 1000 * rate * fill.part();
+        double filled = Math.max(0, now - filledAt) / 1000 * rate * fill.fraction();
         filledAt = Math.max(filledAt, now);
-        // What another process fills its store by leaves this one, or both would have what one may hold.
-        double left = fill.on() ? store + filled : Math.min(store, Math.max(0, store - filled));
-        double most = now < formerTill ? (1 - LEASED_MOST) * hold : hold;
-        store = Math.min(left, most * fill.part() - lent - leases.outstanding(now));
-        return store;
+        // What another process adds to its bucket is subtracted here, or both together would hold more than one may.
+        double remaining = fill.active() ? level + filled : Math.min(level, Math.max(0, level - filled));
+        double limit = now < formerLeasesEndAt ? (1 - MAX_LEASED_SHARE) * capacity : capacity;
+        level = Math.min(remaining, limit * fill.fraction() - granted - leases.outstanding(now));
+        return level;
     }
 
-    /** Gives so many units out; never more than {@link #at}. */
-    void give(double now, double units) {
-        store -= units;
-        lent += units;
-        double sum = units;
-        if (loans.size() >= LOANS_MAX) {
-            sum += loans.pollLast().units();
+    /** Grants units, at most as many as {@link #available} returned. */
+    void grant(double now, double units) {
+        level -= units;
+        granted += units;
+        double expiringUnits = units;
+        if (grants.size() >= MAX_GRANTS) {
+            expiringUnits += grants.pollLast().units();
         }
-        loans.addLast(new Loan(now + LENT_MS, sum));
+        grants.addLast(new Grant(now + OUTSTANDING_MS, expiringUnits));
     }
 
     /**
-     * Settles a request for a lease and grants what there is room for.
+     * Settles a lease request and grants what there is room for.
      *
-     * @param life of the holder
-     * @return units granted beside those held
+     * @param incarnation of the lease holder
+     * @return units granted in addition to those held
      */
-    double lease(double now, int peer, int life, QuotaMessage.LeaseRequest request, Fill fill) {
-        LeaseLedger.Settled settled = leases.settle(now, peer, life, request);
+    double lease(double now, int peer, int incarnation, QuotaMessage.LeaseRequest request, FillMode fill) {
+        LeaseLedger.Settlement settled = leases.settle(now, peer, incarnation, request);
         if (settled.repeat()) {
             return settled.granted();
         }
-        store += settled.returned();
-        double available = at(now, fill);
-        if (!fill.on() || now < formerTill) {
+        level += settled.returned();
+        double available = available(now, fill);
+        if (!fill.active() || now < formerLeasesEndAt) {
             return 0;
         }
-        double units = leases.grant(now, peer, life, request, available, LEASED_MOST * hold * fill.part());
-        store -= units;
+        double units = leases.grant(now, peer, incarnation, request, available, MAX_LEASED_SHARE * capacity * fill.fraction());
+        level -= units;
         return units;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/CustomerView.java
+++ b/gateway/src/main/java/marlford/gateway/quota/CustomerView.java
@@ -1,66 +1,71 @@
 package marlford.gateway.quota;
 
 /**
- * A customer as a gateway that asks for its units sees it: the last word on its store, and what is leased of it. Not
+ * One customer as seen by a gateway that requests its units: the last report on its bucket, and the leases held for it. Not
  * thread-safe.
  */
 final class CustomerView {
-    private static final double MEAN = 0.5; // of the time in which a store fills: how long its units are missing
+    // Fraction of the bucket's fill time for which spent units are missing from it, on average.
+    private static final double MEAN_ABSENCE_FACTOR = 0.5;
 
-    final QuotaMessage.Named named;
+    final QuotaMessage.Named key;
     final QuotaTerms terms;
-    final LedgerPlacement keepers;
+    final LedgerPlacement placement;
     LeaseHolder quotaLease;
     LeaseHolder ceilingLease;
-    int lender = -1; // that last granted units of the ceiling
+    int lastLender = -1; // The gateway that last granted units of the ceiling, or -1.
     double level;
     double demand;
-    double toldAt = Double.NEGATIVE_INFINITY;
-    double usedAt;
-    double more; // units refused here without a question
-    double guessed; // units let in here without a keeper's word, and not told yet; fading as the store fills
-    double guessedAt;
-    double unreported; // units let in or refused here without a keeper's word, and not told yet
+    double reportedAt = Double.NEGATIVE_INFINITY;
+    double lastUsedAt;
+    double refusedLocally; // Units refused here without a query.
+    // Units admitted here without the consent of a replica and not reported yet; they decay as the bucket refills.
+    double degradedUnits;
+    double degradedUnitsAt;
+    double unreportedUnits; // Units admitted or refused here without the consent of a replica and not reported yet.
     double unreportedSince;
 
-    CustomerView(QuotaMessage.Named named, QuotaTerms terms, LedgerPlacement keepers) {
-        this.named = named;
+    CustomerView(QuotaMessage.Named key, QuotaTerms terms, LedgerPlacement placement) {
+        this.key = key;
         this.terms = terms;
-        this.keepers = keepers;
+        this.placement = placement;
         level = terms.burst();
         dropLeases();
     }
 
-    /** Gives up what is leased, without a word. */
+    /** Drops all leases without notifying their owners. */
     void dropLeases() {
-        quotaLease = new LeaseHolder(QuotaMessage.Of.STORE);
-        ceilingLease = new LeaseHolder(QuotaMessage.Of.CEILING);
+        quotaLease = new LeaseHolder(QuotaMessage.UnitScope.QUOTA);
+        ceilingLease = new LeaseHolder(QuotaMessage.UnitScope.CEILING);
     }
 
-    boolean capped() {
+    boolean hasCeiling() {
         return terms.ceilingRate() > 0;
     }
 
-    double ageMs(double now) {
-        return toldAt == Double.NEGATIVE_INFINITY ? 0 : now - toldAt;
+    /** Returns the age of the last report, 0 if there was none. */
+    double reportAgeMs(double now) {
+        return reportedAt == Double.NEGATIVE_INFINITY ? 0 : now - reportedAt;
     }
 
-    /** Lets in without a keeper's word; none is needed where there is no quota. */
-    void guess(double now, double units) {
+    /** Records units admitted without the consent of a replica. Without a quota no consent is needed. */
+    void recordDegraded(double now, double units) {
         if (terms.rate() > 0) {
-            guessed = guessed(now) + units;
-            guessedAt = now;
+            degradedUnits = decayedDegradedUnits(now) + units;
+            degradedUnitsAt = now;
         }
     }
 
-    double guessed(double now) {
+    /** Returns the unreported units that are still missing from the bucket. */
+    double decayedDegradedUnits(double now) {
         double fillMs = 1000 * terms.burst() / terms.rate();
-        return guessed * Math.exp((guessedAt - now) / (MEAN * fillMs));
+        return degradedUnits * Math.exp((degradedUnitsAt - now) / (MEAN_ABSENCE_FACTOR * fillMs));
     }
 
-    void told(double now, double toldLevel, double toldDemand) {
-        level = toldLevel;
-        demand = toldDemand;
-        toldAt = now;
+    /** Stores what a replica reported: the level of the bucket in units and the demand in units per second. */
+    void recordReport(double now, double reportedLevel, double reportedDemand) {
+        level = reportedLevel;
+        demand = reportedDemand;
+        reportedAt = now;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/DegradedModeEstimator.java
+++ b/gateway/src/main/java/marlford/gateway/quota/DegradedModeEstimator.java
@@ -1,19 +1,21 @@
 package marlford.gateway.quota;
 
 /**
- * What a gateway that hears of no keeper lets in by what it last knew of a customer. The store is taken to have gone on as
- * demand and rate would have it; while it has room all goes in, and from then on each request with the chance at which all
- * gateways together, each by itself, let in as much as the store fills by. Pure and stateless.
+ * Admission in degraded mode: what a gateway admits from its last knowledge of a customer while it cannot reach a ledger
+ * replica. The bucket level is extrapolated from the last known demand and rate. While the bucket has room, every request
+ * is admitted; after that, each one is admitted with the probability at which all gateways together, each deciding by
+ * itself, admit as much as the bucket fills by. Stateless.
  */
 final class DegradedModeEstimator {
     private DegradedModeEstimator() { }
 
     /**
-     * @param level units in the store by the last word, which is {@code ageMs} old
-     * @param demand units a second asked for everywhere, by that word
-     * @return 0 to 1
+     * Returns the probability with which to admit a request, 0 to 1.
+     *
+     * @param level units in the bucket by the last report, which is {@code ageMs} old
+     * @param demand units per second requested at all gateways, by that report
      */
-    static double chance(QuotaTerms terms, double level, double demand, double ageMs, double units) {
+    static double admissionProbability(QuotaTerms terms, double level, double demand, double ageMs, double units) {
         if (terms.rate() <= 0) {
             return 1;
         }
--- a/gateway/src/main/java/marlford/gateway/quota/LeaseHolder.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LeaseHolder.java
@@ -3,211 +3,222 @@
 import java.util.ArrayDeque;
 
 /**
- * The holder's side of one lease: units of one customer's store that this gateway may spend without asking. Its size
- * follows this gateway's own demand for the customer; {@link LeaseLedger} has the owner's side and the proof.
+ * The holder's side of one lease: units of one customer's bucket that this gateway may spend without a query. The size of
+ * the lease follows this gateway's own demand for the customer. {@link LeaseLedger} has the owner's side and the safety
+ * proof.
  *
- * <p>One request is open at a time. It is renewed ahead of running dry, and before its term ends; each request says what is
- * still held, so that the owner needs no other report. Pure: no I/O and no clock. Not thread-safe.
+ * <p>One request is open at a time. The lease is renewed before its units run out and before its term ends. Each request
+ * states what is still held, so that the owner needs no other report. No I/O and no clock; not thread-safe.
  */
 final class LeaseHolder {
-    /** Requests a second, at and above which units are leased ahead. */
-    static final double TRIES_TO_LEASE = 1;
-    /** Below it a lease is given back; apart from the former, so that chance does not start and end leases. */
-    static final double TRIES_TO_KEEP = 0.4;
-    private static final double DEMAND_MS = 3000; // averaging of demand
-    private static final double PERIOD_S = 1.5; // time's worth of units that is asked for
-    private static final double LEAD_S = 0.5; // time's worth of units below which a renewal is urgent
-    private static final double SOON = 0.8; // share of the aim below which it goes along with others
-    private static final double USE_REST_MS = LeaseLedger.USE_MS / 4; // before its end a lease is renewed
-    private static final double LARGEST_KEPT = 0.97; // at each renewal
-    private static final double ANSWER_MS = 150; // before a request is sent again
-    private static final int SENDS = 3;
-    private static final double PAUSE_MS = 1000; // after an answer of nothing, or none
-    private static final double LEAST_UNITS = 0.25; // the fixed point's step
-
-    private record Spent(double at, double units) { }
-
-    private final QuotaMessage.Of of;
+    /** Requests per second from which on units are leased in advance. */
+    static final double MIN_ATTEMPTS_PER_S_TO_LEASE = 1;
+    /**
+     * Requests per second below which a lease is returned. The gap to the former value keeps random variation from starting
+     * and ending leases.
+     */
+    static final double MIN_ATTEMPTS_PER_S_TO_KEEP = 0.4;
+    private static final double DEMAND_AVERAGING_MS = 3000;
+    private static final double COVERED_DEMAND_S = 1.5; // demand that one lease is to cover
+    private static final double URGENT_BELOW_DEMAND_S = 0.5; // a renewal is urgent when the units left cover less than this much demand
+    private static final double DUE_SOON_TARGET_SHARE = 0.8; // share of the target size below which a lease joins the renewal of others
+    private static final double RENEWAL_LEAD_MS = LeaseLedger.HOLDER_TERM_MS / 4; // a lease is renewed this long before its end
+    private static final double LARGEST_REQUEST_DECAY = 0.97; // decay of the largest recent request at each renewal
+    private static final double RETRANSMIT_AFTER_MS = 150; // time after which an unanswered request is retransmitted
+    private static final int MAX_SENDS = 3;
+    private static final double PAUSE_AFTER_NO_GRANT_MS = 1000; // pause after a grant of zero units, or after no answer
+    private static final double MIN_UNITS = 0.25; // resolution of amounts in messages
+
+    private record SpentUnits(double at, double units) { }
+
+    private final QuotaMessage.UnitScope scope;
     private final double termMs;
-    private final ArrayDeque<Spent> spent = new ArrayDeque<>(0); // ceiling units that may not have reached a host
+    private final ArrayDeque<SpentUnits> spent = new ArrayDeque<>(0); // Ceiling units that may not have reached a host yet.
     private int owner = -1;
-    private int ownerLife;
+    private int ownerIncarnation;
     private double units;
-    private double spentSince; // the last request was written: what the owner still counts as held
-    private double until = Double.NEGATIVE_INFINITY;
-    private double demand; // units a second
-    private double tries; // a second
-    private double largest; // of the requests lately
+    private double spentSinceRequest; // Units spent since the last request was written; the owner still counts them as held.
+    private double validUntil = Double.NEGATIVE_INFINITY;
+    private double demand; // units per second
+    private double attemptsPerS;
+    private double largestRequest; // of recent attempts, in units
     private double demandAt;
-    private QuotaMessage.LeaseRequest open;
-    private int openOwner;
-    private double openAt;
+    private QuotaMessage.LeaseRequest openRequest;
+    private int openRequestTarget;
+    private double openedAt;
     private double sentAt;
-    private int sends;
-    private double pausedTill = Double.NEGATIVE_INFINITY;
+    private int sendCount;
+    private double pausedUntil = Double.NEGATIVE_INFINITY;
 
-    LeaseHolder(QuotaMessage.Of of) {
-        this(of, LeaseLedger.USE_MS);
+    LeaseHolder(QuotaMessage.UnitScope scope) {
+        this(scope, LeaseLedger.HOLDER_TERM_MS);
     }
 
-    /** @param termMs how long a lease may be spent after its request was first sent; for tests */
-    LeaseHolder(QuotaMessage.Of of, double termMs) {
-        this.of = of;
+    /** @param termMs time from the first sending of a request for which its lease may be spent; settable for tests */
+    LeaseHolder(QuotaMessage.UnitScope scope, double termMs) {
+        this.scope = scope;
         this.termMs = termMs;
     }
 
-    /** A request of so many units was tried here. */
-    void tried(double now, double wanted) {
+    /** Records that a request of this many units was attempted here. */
+    void recordAttempt(double now, double requested) {
         decay(now);
-        demand += wanted * 1000 / DEMAND_MS;
-        tries += 1000 / DEMAND_MS;
-        largest = Math.max(largest, wanted);
+        demand += requested * 1000 / DEMAND_AVERAGING_MS;
+        attemptsPerS += 1000 / DEMAND_AVERAGING_MS;
+        largestRequest = Math.max(largestRequest, requested);
     }
 
     private void decay(double now) {
-        double kept = Math.exp((demandAt - now) / DEMAND_MS);
-        demand *= kept;
-        tries *= kept;
+        double retained = Math.exp((demandAt - now) / DEMAND_AVERAGING_MS);
+        demand *= retained;
+        attemptsPerS *= retained;
         demandAt = now;
     }
 
-    /** Spends so many units; false where the lease has not got them. */
-    boolean take(double now, double wanted) {
-        if (units < wanted || now >= until) {
+    /** Spends units of the lease. Returns false, and spends nothing, if the lease lacks them. */
+    boolean spend(double now, double requested) {
+        if (units < requested || now >= validUntil) {
             return false;
         }
-        units -= wanted;
-        spentSince += wanted;
-        if (of == QuotaMessage.Of.CEILING) {
-            spent.addLast(new Spent(now, wanted));
+        units -= requested;
+        spentSinceRequest += requested;
+        if (scope == QuotaMessage.UnitScope.CEILING) {
+            spent.addLast(new SpentUnits(now, requested));
         }
         return true;
     }
 
-    /** What was spent was never sent on; where the owner was told since that it was spent, it is lost. */
-    void back(double unused) {
-        double good = Math.min(unused, spentSince);
-        spentSince -= good;
-        units += good;
+    /** Takes back units that were spent but never sent on. Units that a later request no longer listed as held are lost. */
+    void returnUnits(double unused) {
+        double returnable = Math.min(unused, spentSinceRequest);
+        spentSinceRequest -= returnable;
+        units += returnable;
     }
 
-    /** Whether there is a lease whose term has not ended. */
-    boolean held(double now) {
-        return now < until;
+    /** Returns whether there is a lease whose term has not ended. */
+    boolean isHeld(double now) {
+        return now < validUntil;
     }
 
-    /** Until when what is spent now must have been sent on. */
-    double leaveBy() {
-        return until;
+    /** Returns the time by which units spent now must have been sent on. */
+    double sendBy() {
+        return validUntil;
     }
 
-    /** Whether there is demand to lease for, or a lease to keep. */
-    boolean active(double now) {
+    /** Returns whether there is enough demand to lease for, or to keep the present lease. */
+    boolean hasDemand(double now) {
         decay(now);
-        return tries >= (now < until || open != null ? TRIES_TO_KEEP : TRIES_TO_LEASE);
+        return attemptsPerS >= (now < validUntil || openRequest != null ? MIN_ATTEMPTS_PER_S_TO_KEEP : MIN_ATTEMPTS_PER_S_TO_LEASE);
     }
 
-    /** Whether anything is held or asked for. */
-    boolean idle(double now) {
-        return open == null && now >= until;
+    /** Returns whether nothing is held and no request is open. */
+    boolean isIdle(double now) {
+        return openRequest == null && now >= validUntil;
     }
 
-    /** Whether a message should leave for this lease by itself. */
-    boolean urgent(double now) {
-        if (open != null) {
-            return now - sentAt >= ANSWER_MS;
+    /** Returns whether this lease needs a message of its own now. */
+    boolean isUrgent(double now) {
+        if (openRequest != null) {
+            return now - sentAt >= RETRANSMIT_AFTER_MS;
         }
-        boolean ends = now < until && until - now < USE_REST_MS;
-        return now >= pausedTill && (now >= until || ends || units < demand * LEAD_S + largest);
+        boolean endsSoon = now < validUntil && validUntil - now < RENEWAL_LEAD_MS;
+        return now >= pausedUntil && (now >= validUntil || endsSoon || units < demand * URGENT_BELOW_DEMAND_S + largestRequest);
     }
 
-    /** Whether it would be renewed soon, and may go along in a message. */
-    boolean soon(double now) {
-        return open == null ? now >= pausedTill && left(now) < SOON * aim() : now - sentAt >= ANSWER_MS;
+    /** Returns whether this lease will need renewal soon and may join a message. */
+    boolean isDueSoon(double now) {
+        return openRequest == null ? now >= pausedUntil && unitsLeft(now) < DUE_SOON_TARGET_SHARE * targetUnits()
+                : now - sentAt >= RETRANSMIT_AFTER_MS;
     }
 
-    private double aim() {
-        return Math.min(LeaseLedger.MOST_UNITS, demand * PERIOD_S + largest);
+    /** Returns the size that the lease should have by the present demand. */
+    private double targetUnits() {
+        return Math.min(LeaseLedger.MAX_LEASE_UNITS, demand * COVERED_DEMAND_S + largestRequest);
     }
 
-    private double left(double now) {
-        return now < until ? units : 0;
+    private double unitsLeft(double now) {
+        return now < validUntil ? units : 0;
     }
 
-    /** The owner that the open request, if any, was sent to; else -1. */
-    int asked() {
-        return open == null ? -1 : openOwner;
+    /** Returns the owner that the open request was sent to, or -1 if none is open. */
+    int openRequestOwner() {
+        return openRequest == null ? -1 : openRequestTarget;
     }
 
     /**
-     * The request to send now; the open one again where it has not been answered, null where it was sent often enough.
+     * Returns the request to send now: the open one again if it has not been answered, or null if it has been sent often
+     * enough.
      *
-     * @param serial of a new request
+     * @param serial for a new request
      */
-    QuotaMessage.LeaseRequest request(double now, int serial, int newOwner, QuotaMessage.Named named) {
-        if (open != null && sends >= SENDS) {
-            open = null;
-            pausedTill = now + PAUSE_MS;
+    QuotaMessage.LeaseRequest nextRequest(double now, int serial, int newOwner, QuotaMessage.Named key) {
+        if (openRequest != null && sendCount >= MAX_SENDS) {
+            openRequest = null;
+            pausedUntil = now + PAUSE_AFTER_NO_GRANT_MS;
             return null;
         }
-        if (open == null || openOwner != newOwner) {
-            boolean same = owner == newOwner;
-            double wanted = Math.max(LEAST_UNITS, aim() - (same ? left(now) : 0));
-            open = new QuotaMessage.LeaseRequest(serial, named, of, wanted, held(now, same), 0);
-            openOwner = newOwner;
-            openAt = now;
-            sends = 0;
-            spentSince = 0;
-            largest *= LARGEST_KEPT;
+        if (openRequest == null || openRequestTarget != newOwner) {
+            boolean sameOwner = owner == newOwner;
+            double requested = Math.max(MIN_UNITS, targetUnits() - (sameOwner ? unitsLeft(now) : 0));
+            openRequest = new QuotaMessage.LeaseRequest(serial, key, scope, requested, heldUnits(now, sameOwner), 0);
+            openRequestTarget = newOwner;
+            openedAt = now;
+            sendCount = 0;
+            spentSinceRequest = 0;
+            largestRequest *= LARGEST_REQUEST_DECAY;
         }
-        sends++;
+        sendCount++;
         sentAt = now;
-        return open;
+        return openRequest;
     }
 
-    /** What may yet be spent of that owner's lease; with ceiling units that may not have reached a host, whoever gave them. */
-    private double held(double now, boolean sameOwner) {
-        while (!spent.isEmpty() && now - spent.peekFirst().at() >= CeilingShare.LENT_MS) {
+    /**
+     * Returns the units of that owner's lease that may still be spent, plus the ceiling units that may not have reached a
+     * host, whichever owner granted them.
+     */
+    private double heldUnits(double now, boolean sameOwner) {
+        while (!spent.isEmpty() && now - spent.peekFirst().at() >= CeilingShare.OUTSTANDING_MS) {
             spent.pollFirst();
         }
-        return (sameOwner ? left(now) : 0) + spent.stream().mapToDouble(Spent::units).sum();
+        return (sameOwner ? unitsLeft(now) : 0) + spent.stream().mapToDouble(SpentUnits::units).sum();
     }
 
-    /** The end of the lease, to be told to its owner; null where there is nothing to end. */
-    QuotaMessage.LeaseRequest end(double now, int serial, QuotaMessage.Named named) {
-        double rest = left(now);
+    /** Ends the lease. Returns the request that reports this to the owner, or null if there was no lease. */
+    QuotaMessage.LeaseRequest end(double now, int serial, QuotaMessage.Named key) {
+        double unspent = unitsLeft(now);
         units = 0;
-        spentSince = 0;
-        open = null;
-        boolean some = now < until;
-        until = Double.NEGATIVE_INFINITY;
-        return some ? new QuotaMessage.LeaseRequest(serial, named, of, 0, held(now, false), rest) : null;
+        spentSinceRequest = 0;
+        openRequest = null;
+        boolean hadLease = now < validUntil;
+        validUntil = Double.NEGATIVE_INFINITY;
+        return hadLease ? new QuotaMessage.LeaseRequest(serial, key, scope, 0, heldUnits(now, false), unspent) : null;
     }
 
+    /** Returns the gateway that granted the last lease, or -1. */
     int owner() {
         return owner;
     }
 
     /**
-     * A grant: it is taken where it answers the open request in time. What was held of another owner, or of another life of
-     * this one, which does not count it, is given up.
+     * Handles a grant. It is accepted if it answers the open request in time. Units held from another owner, or from
+     * another incarnation of this owner, which does not count them, are given up.
      */
-    void granted(double now, int from, int life, int serial, double more) {
-        if (open == null || open.serial() != serial || openOwner != from) {
+    void onGrant(double now, int from, int incarnation, int serial, double grantedUnits) {
+        if (openRequest == null || openRequest.serial() != serial || openRequestTarget != from) {
             return;
         }
-        double end = openAt + termMs;
-        open = null;
-        if (more < LEAST_UNITS) {
-            pausedTill = now + PAUSE_MS;
+        double end = openedAt + termMs;
+        openRequest = null;
+        if (grantedUnits < MIN_UNITS) {
+            pausedUntil = now + PAUSE_AFTER_NO_GRANT_MS;
         }
-        boolean same = owner == from && ownerLife == life;
-        double kept = same ? left(now) : 0;
-        if (now < end && kept + more > 0) {
+        boolean sameIncarnation = owner == from && ownerIncarnation == incarnation;
+        double retained = sameIncarnation ? unitsLeft(now) : 0;
+        if (now < end && retained + grantedUnits > 0) {
             owner = from;
-            ownerLife = life;
-            units = kept + more;
-            until = end;
+            ownerIncarnation = incarnation;
+            units = retained + grantedUnits;
+            validUntil = end;
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/LenderQueue.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LenderQueue.java
@@ -10,17 +10,17 @@
 import java.util.function.BiPredicate;
 
 /**
- * Questions for units of ceilings that wait for a message to leave, where fewer may than there are questions. Any gateway
- * with a share will do, so that the next message goes to the one that most of them can be asked of.
+ * Queries for ceiling units that wait for message budget. Any gateway with a share can answer, so the next message goes to
+ * the gateway that can be sent the most of the waiting queries.
  *
- * <p>Bound: {@value #MOST} questions. Pure: no I/O and no clock. Not thread-safe.
+ * <p>Bound: {@value #MAX_QUERIES} queries. No I/O and no clock; not thread-safe.
  */
 final class LenderQueue {
-    private static final int MOST = 512;
-    private static final int BATCH = 15; // questions that fit one message, beside another item
+    private static final int MAX_QUERIES = 512;
+    private static final int MAX_QUERIES_PER_MESSAGE = 15; // queries that fit into one message next to another item
 
-    /** Questions to ask of one gateway. */
-    record Batch(int peer, List<PendingAdmission> questions) { }
+    /** Queries to send to one gateway. */
+    record Batch(int peer, List<PendingAdmission> queries) { }
 
     private final Set<PendingAdmission> waiting = new LinkedHashSet<>();
 
@@ -28,56 +28,56 @@
         return waiting.isEmpty();
     }
 
-    /** False where there is no room. */
-    boolean add(PendingAdmission question) {
-        return waiting.size() < MOST && waiting.add(question);
+    /** Returns false if the queue is full. */
+    boolean add(PendingAdmission query) {
+        return waiting.size() < MAX_QUERIES && waiting.add(query);
     }
 
-    /** Takes that request's question out; null where it does not wait here. */
+    /** Removes the query of that request; returns null if it is not in the queue. */
     PendingAdmission remove(String id) {
         for (Iterator<PendingAdmission> it = waiting.iterator(); it.hasNext();) {
-            PendingAdmission q = it.next();
-            if (q.id.equals(id)) {
+            PendingAdmission query = it.next();
+            if (query.id.equals(id)) {
                 it.remove();
-                return q;
+                return query;
             }
         }
         return null;
     }
 
-    /** Takes out those that have waited as long as they may. */
-    List<PendingAdmission> expired(double now, double answerMs) {
-        List<PendingAdmission> due = waiting.stream().filter(q -> q.leavesBy(answerMs) <= now).toList();
+    /** Removes and returns the queries that have waited as long as they may. */
+    List<PendingAdmission> expired(double now, double replyTimeoutMs) {
+        List<PendingAdmission> due = waiting.stream().filter(query -> query.sendDeadline(replyTimeoutMs) <= now).toList();
         due.forEach(waiting::remove);
         return due;
     }
 
     /**
-     * Takes out the next to ask, the longest waiting of those that the best gateway can be asked for.
+     * Removes and returns the next batch: the longest-waiting queries for the gateway that can be sent the most of them.
      *
-     * @param usable whether a question may be asked of that gateway
-     * @return null where there are none
+     * @param usable whether a query may be sent to that gateway
+     * @return null if no query can be sent to any gateway
      */
     Batch next(BiPredicate<PendingAdmission, Integer> usable) {
         Map<Integer, List<PendingAdmission>> byPeer = new TreeMap<>();
-        for (PendingAdmission q : waiting) {
-            for (int peer : q.customer.keepers.shares()) {
-                if (usable.test(q, peer)) {
-                    byPeer.computeIfAbsent(peer, p -> new ArrayList<>()).add(q);
+        for (PendingAdmission query : waiting) {
+            for (int peer : query.customer.placement.shareHolders()) {
+                if (usable.test(query, peer)) {
+                    byPeer.computeIfAbsent(peer, p -> new ArrayList<>()).add(query);
                 }
             }
         }
         Batch best = null;
         for (Map.Entry<Integer, List<PendingAdmission>> e : byPeer.entrySet()) {
-            if (best == null || e.getValue().size() > best.questions.size()) {
+            if (best == null || e.getValue().size() > best.queries.size()) {
                 best = new Batch(e.getKey(), e.getValue());
             }
         }
         if (best == null) {
             return null;
         }
-        List<PendingAdmission> first = best.questions.subList(0, Math.min(BATCH, best.questions.size()));
-        waiting.removeAll(Set.copyOf(first));
-        return new Batch(best.peer, first);
+        List<PendingAdmission> batch = best.queries.subList(0, Math.min(MAX_QUERIES_PER_MESSAGE, best.queries.size()));
+        waiting.removeAll(Set.copyOf(batch));
+        return new Batch(best.peer, batch);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/PendingAdmission.java
+++ b/gateway/src/main/java/marlford/gateway/quota/PendingAdmission.java
@@ -3,39 +3,44 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One request that waits for units: of its customer's quota, then of the ceiling, each of one gateway at a time. */
+/**
+ * One request that waits for units: first of its customer's quota, then of the ceiling, each requested from one gateway at
+ * a time.
+ */
 final class PendingAdmission {
     final String id;
     final CustomerView customer;
     final double units;
-    final double lastMs;
-    int place = -1; // of the keeper that was asked last
+    final double deadlineMs;
+    int replicaIndex = -1; // Index of the ledger replica that was queried last.
     int serial;
-    int sends;
-    double askedAt;
-    double answerBy;
-    QuotaMessage.Of of = QuotaMessage.Of.BOTH;
-    QuotaCoordinator.Grant quota; // the store's units, while the ceiling's are looked for
-    boolean guessed; // in place of them: let in without a keeper's word
-    int peer; // that was asked last
-    final Set<Integer> lenders = new HashSet<>(); // that had none
-    private double queuedUntil = Double.POSITIVE_INFINITY; // set as it first waits for a message to leave
+    int sendCount;
+    double queriedAt;
+    double replyDueAt;
+    QuotaMessage.UnitScope scope = QuotaMessage.UnitScope.BOTH;
+    QuotaCoordinator.Grant quotaGrant; // The quota units, while units of the ceiling are being sought.
+    // Whether the quota part was admitted in degraded mode, that is, without the consent of a replica and without granted
+    // units.
+    boolean degraded;
+    int peer; // The gateway that was queried last.
+    final Set<Integer> triedLenders = new HashSet<>(); // Gateways already tried for units of the ceiling.
+    private double queuedUntil = Double.POSITIVE_INFINITY; // Set when the query first waits for message budget.
 
-    /** @param lastMs when it must be decided at the latest */
-    PendingAdmission(String id, CustomerView customer, double units, double lastMs) {
+    /** @param deadlineMs time at which the request must be decided at the latest */
+    PendingAdmission(String id, CustomerView customer, double units, double deadlineMs) {
         this.id = id;
         this.customer = customer;
         this.units = units;
-        this.lastMs = lastMs;
+        this.deadlineMs = deadlineMs;
     }
 
-    /** It waits for a message to leave; counted from the first time, until so long after it. */
-    void queued(double now, double mostMs) {
-        queuedUntil = Math.min(queuedUntil, now + mostMs);
+    /** Notes that the query waits for message budget. The limit counts from the first call. */
+    void markQueued(double now, double maxWaitMs) {
+        queuedUntil = Math.min(queuedUntil, now + maxWaitMs);
     }
 
-    /** When it must have left, or is given up. */
-    double leavesBy(double answerMs) {
-        return Math.min(queuedUntil, lastMs - answerMs);
+    /** Returns the time by which the query must have been sent; after it the request is refused. */
+    double sendDeadline(double replyTimeoutMs) {
+        return Math.min(queuedUntil, deadlineMs - replyTimeoutMs);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
@@ -14,1116 +14,1218 @@
 import java.util.stream.IntStream;
 
 /**
- * Who may be let in, in a tier too large for all to hear of all use: each customer's book is kept by one gateway of its set,
- * which is asked once for each request and answers from the book at once.
+ * Admission by quota and ceiling in a tier that is too large for every gateway to learn of all usage. Each customer's
+ * ledger is kept by one gateway of the customer's set, the ledger replica in charge. It receives one query per request and
+ * answers from the ledger at once.
  *
- * <p><b>Cost.</b> A question and its answer are two small messages for a request, however large the tier is; a gateway
- * that knows from a recent answer that the store is empty refuses without one. Sending is bounded by one bucket for all
- * peers, since it is the receivers' intake that is short and requests are spread over the keepers by a hash.
+ * <p><b>Cost.</b> A query and its answer are two small messages per request, however large the tier is. A gateway that
+ * knows from a recent answer that the bucket is empty refuses without a query. One budget for all peers bounds the messages
+ * sent, since the scarce resource is the message budget of the receivers, and a hash spreads the requests over the
+ * replicas.
  *
- * <p><b>Loss.</b> A question not answered in {@value #ANSWER_MS} ms is sent again with its serial, for which a keeper keeps
- * its verdict; the third miss turns to the stand-in, to which the keeper tells its books every {@value #SYNC_MS} ms. Who
- * missed two is passed over until it is heard of, and is asked for a sign of life now and then. Where nobody is left to
- * ask, {@link DegradedModeEstimator} decides. Ceiling units are only ever given by a {@link CeilingShare}.
+ * <p><b>Loss.</b> A query that is not answered within {@value #REPLY_TIMEOUT_MS} ms is sent again with its serial, for
+ * which a replica caches its verdict. The third miss moves the query to the next standby replica, to which the replica in
+ * charge sends its ledgers every {@value #SYNC_INTERVAL_MS} ms. A peer that answers none of the attempts and from which
+ * nothing else is received meanwhile counts as silent: it is skipped until a message arrives from it, and receives a probe
+ * message now and then. If no replica can be queried, {@link DegradedModeEstimator} decides. Units of a ceiling are only
+ * ever granted by a {@link CeilingShare}.
  *
- * <p>Beside its answers a keeper tells of customers that ask for more than they may, a few at a time, since a message costs
- * its receiver the same whatever it holds: in a cut most gateways have never asked for most customers.
+ * <p>Next to its answers a replica sends hints about customers that request more than their quota, a few at a time, since a
+ * message costs its receiver the same whatever it contains. In a network partition most gateways have never sent a query
+ * for most customers.
  *
- * <p><b>Restarts.</b> Who leaves passes its books to the stand-ins and says so; who returns says so and is told the books
- * that were kept for it.
+ * <p><b>Restarts.</b> A gateway that shuts down sends its ledgers to the standby replicas and announces its shutdown. A
+ * gateway that returns announces itself and receives the ledgers that were kept for it.
  *
- * <p>Bounds: {@link Config#most} customers asked about and as many books; {@value #OPEN_MAX} open questions, beyond which
- * the guess decides at once; {@value ReplyCache#MOST} verdicts kept for each peer. Pure, not thread-safe.
+ * <p>Bounds: {@link Config#maxCustomers} customers with queries and as many ledgers; {@value #MAX_OPEN_QUERIES} open
+ * queries, beyond which the degraded-mode estimate decides at once; {@value ReplyCache#MAX_ENTRIES} cached verdicts per
+ * peer. No I/O and no clock; not thread-safe.
  */
 public final class QuotaCoordinator {
-    /** How long an answer may take before its question is sent again, in milliseconds: three times the way there and back. */
-    public static final double ANSWER_MS = 50;
-    private static final double QUEUED_MS = 6 * ANSWER_MS; // what waits longer for a message to leave is refused then
-    private static final int SENDS = 3; // of one question to one keeper: at one loss in ten seven in a thousand miss
-    private static final double SYNC_MS = 500;
-    private static final double ANSWERS_GAIN = 0.2; // weight of one question in that share
-    private static final double ANSWERS_FEW = 0.5; // below it a question is sent once
-    private static final double KNOCK_MS = 1000; // between signs of life asked of one that is silent
-    private static final double KNOCKS_PER_S = 4; // by this gateway, to all that are silent
-    private static final double KNOCKS_MAX = 8;
-    private static final double KNOCKS_WON = 2; // for each that is heard again: others may be back, too
-    private static final double DEAF_MS = 500; // in a busy tier nobody hears nothing for so long
-    private static final double HINTED_MS = 200; // the same, where another gateway hears that one
-    private static final double FRESH_MS = 400; // so long a word that the store is empty is taken up to its refill
-    private static final double PRESSED_MS = 1000; // so long a word that there is little left thins out questions
-    private static final double PRESSED = 0.25; // share of the burst that is little
-    private static final double ASKED_MORE = 1.25; // times what the store fills by, that is asked for when pressed
-    private static final int LEASED = -1; // in place of a keeper: the units are of this gateway's own lease
-    private static final int OPEN_MAX = 512;
-    private static final int ENDED_MAX = 256; // questions given up whose answer may yet come
-    private static final double SHARE_USED = 0.8; // of the intake: bursts fit in the rest
-    private static final double BROADCAST_MS = 1000; // between broadcasts, from which on they tell too little too late
-    private static final double CREDIT_MS = 250; // time's worth of questions that may leave at once
-    private static final double CREDIT_LOW = 0.5; // of that: below it what need not be asked, or can wait, is not asked at once
-    private static final double PLENTY = 0.5; // share of the burst that is plenty
-    private static final double PLENTY_RATE = 0.9; // share of the rate up to which demand leaves plenty
-    private static final double PLENTY_MS = 15_000; // so long a word of it holds
-    private static final double SWEEP_MS = 5000;
-    private static final double FORGET_MS = 20_000; // idle so long a customer is forgotten, and not before
-    private static final double FILLED = 2; // times the time in which its slower store fills
-    private static final double ACTIVE_MS = 10_000; // a book used since then is passed on
-    private static final int[] HELLOS_MS = {0, 400}; // after others were first heard; the second for who lost the first
-    private static final int ROOM = 2; // largest requests that each share of a ceiling has room for
-    private static final int LENDERS = 3; // asked for units of a ceiling, one after the other
-    private static final double OLDER_EVEN = 0.5; // of a ceiling, that gateways of older versions split evenly
-    private static final double OLDER_MS = 60_000; // after its last word an older version is taken to be gone
-    private static final int HINTS = 4; // beside an answer
-    private static final int HINTS_MAX = 4096; // customers known by hints alone
+    /** Time after which an unanswered query is sent again, in milliseconds: three times the round trip. */
+    public static final double REPLY_TIMEOUT_MS = 50;
+    // a query that waits longer than this for message budget is refused
+    private static final double MAX_QUEUE_WAIT_MS = 6 * REPLY_TIMEOUT_MS;
+    // sendings of one query to one replica; at a loss of one message in ten, seven queries in a thousand miss
+    private static final int MAX_SENDS = 3;
+    private static final double SYNC_INTERVAL_MS = 500;
+    private static final double ANSWERED_SHARE_GAIN = 0.2; // weight of one query in a peer's share of answered queries
+    private static final double MIN_ANSWERED_SHARE_TO_RESEND = 0.5; // below this share of answered queries a query is sent only once
+    private static final double PROBE_INTERVAL_MS = 1000; // gap between probe messages to one silent peer
+    private static final double PROBES_PER_S = 4; // sent by this gateway to all silent peers together
+    private static final double PROBE_BURST = 8;
+    // added for each silent peer that sends a message again: other peers may be back too
+    private static final double PROBES_PER_RECOVERED_PEER = 2;
+    private static final double ISOLATED_AFTER_MS = 500; // in a busy tier some message arrives well within this time
+    // gap between probe messages to a silent peer that another gateway can reach, as far as is known
+    private static final double HINTED_PROBE_INTERVAL_MS = 200;
+    private static final double EMPTY_REPORT_VALID_MS = 400; // validity of a report that the bucket is empty, apart from its refill
+    private static final double LOW_REPORT_VALID_MS = 1000; // for this long after a report of a low bucket, queries are thinned out
+    private static final double LOW_LEVEL_SHARE = 0.25; // share of the burst below which a bucket is low
+    private static final double LOW_LEVEL_QUERY_FACTOR = 1.25; // multiple of the fill rate that is queried for while the bucket is low
+    private static final int OWN_LEASE = -1; // Stands in for a replica's index: the units belong to this gateway's own lease.
+    private static final int MAX_OPEN_QUERIES = 512;
+    private static final int MAX_ABANDONED_QUERIES = 256; // abandoned queries whose answer may still arrive
+    private static final double USED_BUDGET_SHARE = 0.8; // share of the message budget; the rest absorbs bursts
+    // with broadcasts this far apart or more, they report too little too late
+    private static final double MAX_BROADCAST_INTERVAL_MS = 1000;
+    private static final double BUDGET_BURST_MS = 250; // budget for queries that may be sent at once, as time
+    // share of the full budget below which queries that are unnecessary or can wait are not sent at once
+    private static final double AMPLE_BUDGET_SHARE = 0.5;
+    private static final double PLENTIFUL_LEVEL_SHARE = 0.5; // share of the burst from which on a bucket counts as plentiful
+    private static final double PLENTIFUL_DEMAND_SHARE = 0.9; // share of the rate up to which the demand leaves a bucket plentiful
+    private static final double PLENTIFUL_REPORT_VALID_MS = 15_000; // validity of a report of a plentiful bucket
+    private static final double SWEEP_INTERVAL_MS = 5000;
+    private static final double MIN_FORGET_AFTER_MS = 20_000; // minimum idle time after which a customer is forgotten
+    private static final double FORGET_FILL_TIMES = 2; // minimum idle time as a multiple of the fill time of the slower bucket
+    private static final double ACTIVE_LEDGER_MS = 10_000; // a ledger used within this time is passed on to a returned replica
+    // Delays after the first message from a peer. The second announcement is for peers that lost the first.
+    private static final int[] ANNOUNCEMENT_DELAYS_MS = {0, 400};
+    private static final int REQUESTS_PER_CEILING_SHARE = 2; // number of largest requests that each share of a ceiling has room for
+    private static final int MAX_LENDERS = 3; // gateways queried for units of a ceiling, one after the other
+    private static final double OLDER_VERSION_EVEN_PART = 0.5; // part of a ceiling that gateways of older versions split evenly
+    // time after its last message from which on a peer of an older version counts as gone
+    private static final double OLDER_VERSION_TIMEOUT_MS = 60_000;
+    private static final int HINTS_PER_ANSWER = 4; // hints sent next to an answer
+    private static final int MAX_HINTED_CUSTOMERS = 4096; // customers known through hints alone
 
     /**
-     * @param mailPerSecond messages that a gateway takes in
-     * @param maxUnits of one request
-     * @param most customers known here, and as many books
+     * Settings of a coordinator.
+     *
+     * @param self index of this gateway
+     * @param gateways number of gateways in the tier
+     * @param messagesPerSecond messages that a gateway accepts per second
+     * @param maxUnits units of the largest request
+     * @param maxCustomers customers known here, and as many ledgers
+     * @param plans limits of each plan, by plan number
      */
-    public record Config(int me, int gateways, double mailPerSecond, double maxUnits, int most, List<QuotaTerms> plans) { }
+    public record Config(int self, int gateways, double messagesPerSecond, double maxUnits, int maxCustomers, List<QuotaTerms> plans) { }
 
-    /** Why a request was let in or not. */
-    public enum Why { GRANTED, STORE, CEILING, GUESSED }
+    /**
+     * Why a request was admitted or refused: units were granted or leased, the quota lacks units, the ceiling lacks units, or
+     * the decision was made without the consent of a ledger replica.
+     */
+    public enum Why { GRANTED, STORE, CEILING, DEGRADED_MODE }
 
-    /** Units had of a keeper, to be given back where they were not used. */
-    public record Grant(int keeper, int serial, long customer, double units) { }
+    /**
+     * Units granted by a replica, to be returned if they are not used.
+     *
+     * @param grantor index of the gateway that granted them
+     * @param serial of the query that they were granted for
+     */
+    public record Grant(int grantor, int serial, long customer, double units) { }
 
     /**
-     * @param leaveBy until then it must have been sent on
-     * @param retryMs when the store will have filled enough, 0 where that is not known
-     * @param grant null where there is nothing to give back
+     * The decision on a request.
+     *
+     * @param in whether the request is admitted
+     * @param why the reason
+     * @param leaveBy time by which the request must have been sent on, in milliseconds
+     * @param retryMs time in milliseconds until the bucket will have filled enough, 0 if that is not known
+     * @param grant null if there is nothing to return
      */
     public record Decision(boolean in, Why why, double leaveBy, double retryMs, Grant grant) { }
 
-    /** What happened since it was last taken, for the log. */
+    /** Counts of events since they were last logged. */
     private static final class Counts {
-        int asked;
-        int again;
-        int missed;
-        int guessed;
-        int stoodIn;
-        int unable;
-        int leased;
+        int queries;
+        int retransmissions;
+        int misses;
+        int degradedAdmissions;
+        int standbyDecisions;
+        int undecided;
+        int leaseAdmissions;
     }
 
-    /** What is done with messages and decisions. */
+    /** Receives outgoing messages and decisions. */
     public interface Link {
+        /** Sends an encoded message to a peer. */
         void tell(int peer, byte[] data);
 
+        /** Receives the decision on the request with this id. */
         void decided(double now, String id, Decision decision);
     }
 
+    /** What this gateway knows of one peer. */
     private static final class Peer {
-        final ReplyCache verdicts = new ReplyCache();
-        final PeerIncarnation life = new PeerIncarnation();
-        boolean leases; // its version understands requests for leases
-        int syncCount;
-        boolean synced;
-        boolean leaves;
-        double answers = 1; // share of its questions that it answered at the first asking, lately
+        final ReplyCache replyCache = new ReplyCache();
+        final PeerIncarnation incarnation = new PeerIncarnation();
+        boolean supportsLeases; // Whether the peer's version understands lease requests.
+        int syncSequence;
+        boolean hasSynced;
+        boolean shuttingDown;
+        double answeredShare = 1; // Moving share of the queries that the peer answered at their first sending.
         boolean silent;
         double silentAt;
-        double heardAt = Double.NEGATIVE_INFINITY;
-        double knockedAt = Double.NEGATIVE_INFINITY;
+        double lastReceivedAt = Double.NEGATIVE_INFINITY;
+        double probedAt = Double.NEGATIVE_INFINITY;
     }
 
-    private record Heard(double at, QuotaMessage.Hint hint) { }
+    /** A hint about a customer that has no entry here yet, with the time of its arrival. */
+    private record ReceivedHint(double at, QuotaMessage.DemandHint hint) { }
 
     private final Config config;
     private final Link link;
     private final Random random;
     private final Peer[] peers;
     private final Map<Long, CustomerView> customers = new HashMap<>();
-    private final Map<Long, QuotaLedger> books = new LinkedHashMap<>();
-    private final Map<Integer, PendingAdmission> open = new LinkedHashMap<>();
-    private final LinkedHashSet<Integer> ended = new LinkedHashSet<>(); // serials that nobody waits for
-    private final LinkedHashMap<Long, Heard> hints = new LinkedHashMap<>();
+    private final Map<Long, QuotaLedger> ledgers = new LinkedHashMap<>();
+    private final Map<Integer, PendingAdmission> openQueries = new LinkedHashMap<>();
+    private final LinkedHashSet<Integer> abandoned = new LinkedHashSet<>(); // Serials of abandoned queries.
+    private final LinkedHashMap<Long, ReceivedHint> hints = new LinkedHashMap<>();
     private final LeaseRenewals renewals;
     private final UsageReports reports = new UsageReports();
-    private final LenderQueue queue = new LenderQueue();
-    private final List<QuotaLedger> pressed = new ArrayList<>(); // of those kept here, as of the last word to stand-ins
-    private int hinted;
-    private final Map<Integer, List<QuotaMessage.Item>> due = new TreeMap<>();
-    private final double perMs;
-    private double credit;
-    private double creditAt;
+    private final LenderQueue lenderQueue = new LenderQueue();
+    // Ledgers that this gateway is in charge of and whose customers request more than their quota, as of the last synchronisation.
+    private final List<QuotaLedger> overloaded = new ArrayList<>();
+    private int nextHint;
+    private final Map<Integer, List<QuotaMessage.Item>> outbox = new TreeMap<>();
+    private final double budgetPerMs;
+    private double budget;
+    private double budgetAt;
     private double syncedAt;
     private double sweptAt;
-    private double heardSince = Double.POSITIVE_INFINITY; // others speak to this life
-    private double fillsSince;
+    private double firstHeardAt = Double.POSITIVE_INFINITY; // Time of the first message that a peer sent to this incarnation.
+    private double fillingSince;
     private boolean filling = true;
-    private double heardAt = Double.NEGATIVE_INFINITY; // anybody
-    private double knocks = KNOCKS_MAX;
-    private double knocksAt;
-    private double olderAt = Double.NEGATIVE_INFINITY; // when a peer of an older version last spoke
-    private int life;
+    private double lastReceivedAt = Double.NEGATIVE_INFINITY; // Time of the last message from any peer.
+    private double probeBudget = PROBE_BURST;
+    private double probeBudgetAt;
+    private double olderVersionHeardAt = Double.NEGATIVE_INFINITY; // Time of the last message from a peer of an older version.
+    private int incarnation;
     private int serial;
-    private int count;
-    private int hellos;
+    private int sequence;
+    private int announcements;
     private Counts counts = new Counts();
 
-    private final LeaseRenewals.Side renewing = new LeaseRenewals.Side() {
+    private final LeaseRenewals.Context renewalContext = new LeaseRenewals.Context() {
         @Override
-        public int owner(double now, CustomerView k, QuotaMessage.Of of) {
-            return leaseOwner(now, k, of);
+        public int owner(double now, CustomerView view, QuotaMessage.UnitScope scope) {
+            return leaseOwner(now, view, scope);
         }
 
         @Override
-        public int serial() {
+        public int newSerial() {
             return nextSerial();
         }
 
         @Override
-        public boolean mayAsk(double now) {
-            return takeCredit(now);
+        public boolean takeMessage(double now) {
+            return takeBudget(now);
         }
 
         @Override
-        public void say(int peer, QuotaMessage.LeaseRequest request) {
-            QuotaCoordinator.this.say(peer, request);
+        public void enqueue(int peer, QuotaMessage.LeaseRequest request) {
+            QuotaCoordinator.this.enqueue(peer, request);
         }
     };
 
-    private final UsageReports.Side reporting = new UsageReports.Side() {
+    private final UsageReports.Context reportContext = new UsageReports.Context() {
         @Override
-        public int keeper(double now, CustomerView k) {
-            return keeperInCharge(now, k);
+        public int replicaInCharge(double now, CustomerView view) {
+            return reachableReplica(now, view);
         }
 
         @Override
-        public boolean mayTell(double now) {
-            return takeCredit(now);
+        public boolean takeMessage(double now) {
+            return takeBudget(now);
         }
 
         @Override
-        public void report(double now, int keeper, CustomerView k) {
-            reportUsage(now, keeper, k);
+        public void report(double now, int replica, CustomerView view) {
+            reportUsage(now, replica, view);
         }
     };
 
-    /** Whether a tier is so large that even a broadcast of each to all would come a second apart. */
-    public static boolean isFor(int gateways, double mailPerSecond) {
-        return gateways - 1 >= SHARE_USED * Math.max(1, mailPerSecond) * BROADCAST_MS / 1000;
+    /**
+     * Returns whether the tier is so large that even a broadcast of each gateway to all others could be sent only once per
+     * second or less often.
+     */
+    public static boolean isFor(int gateways, double messagesPerSecond) {
+        return gateways - 1 >= USED_BUDGET_SHARE * Math.max(1, messagesPerSecond) * MAX_BROADCAST_INTERVAL_MS / 1000;
     }
 
-    /** @param life of this gateway; later ones are greater, by difference */
-    public QuotaCoordinator(double now, Config config, int life, Random random, Link link) {
+    /**
+     * Creates the coordinator.
+     *
+     * @param incarnation of this gateway; later ones are greater, compared by difference
+     */
+    public QuotaCoordinator(double now, Config config, int incarnation, Random random, Link link) {
         this.config = config;
         this.link = link;
         this.random = random;
-        this.life = life;
+        this.incarnation = incarnation;
         peers = new Peer[config.gateways()];
         for (int i = 0; i < peers.length; i++) {
             peers[i] = new Peer();
         }
-        perMs = Math.max(1, config.mailPerSecond()) * SHARE_USED / 1000;
-        credit = perMs * CREDIT_MS;
-        renewals = new LeaseRenewals(config.mailPerSecond());
-        creditAt = knocksAt = syncedAt = sweptAt = fillsSince = now;
+        budgetPerMs = Math.max(1, config.messagesPerSecond()) * USED_BUDGET_SHARE / 1000;
+        budget = budgetPerMs * BUDGET_BURST_MS;
+        renewals = new LeaseRenewals(config.messagesPerSecond());
+        budgetAt = probeBudgetAt = syncedAt = sweptAt = fillingSince = now;
     }
 
-    /** No earlier life of this gateway has given anything out since then. */
+    /** Declares that no earlier incarnation of this gateway has granted anything since the given time. */
     public void aloneSince(double since) {
-        fillsSince = Math.min(fillsSince, since);
+        fillingSince = Math.min(fillingSince, since);
     }
 
-    /** What fills from now on is another process's. */
+    /** Declares that another process of this gateway holds the right to fill buckets from now on. */
     public void replaced(double now) {
-        books.values().forEach(b -> b.touch(now, new CeilingShare.Fill(true, 1)));
+        ledgers.values().forEach(ledger -> ledger.advanceTo(now, new CeilingShare.FillMode(true, 1)));
         filling = false;
     }
 
-    /** The other process is gone, with what it knew and what filled meanwhile. */
-    public void restored(double now, int newLife) {
+    /** Declares that the other process is gone, together with its knowledge and with what it filled meanwhile. */
+    public void restored(double now, int newIncarnation) {
         filling = true;
-        life = newLife;
-        fillsSince = now;
-        heardSince = Double.POSITIVE_INFINITY;
-        hellos = 0;
-        books.clear();
-        pressed.clear();
+        incarnation = newIncarnation;
+        fillingSince = now;
+        firstHeardAt = Double.POSITIVE_INFINITY;
+        announcements = 0;
+        ledgers.clear();
+        overloaded.clear();
         renewals.clear();
-        customers.values().forEach(CustomerView::dropLeases); // they are the former life's
+        customers.values().forEach(CustomerView::dropLeases); // the leases belong to the former incarnation
     }
 
-    /** This loop stood still for so long: what came meanwhile is read only now. */
+    /**
+     * Extends the deadlines of answers by the time for which this event loop was stalled: messages that arrived meanwhile
+     * are only read now.
+     */
     public void stalled(double ms) {
-        open.values().forEach(q -> q.answerBy += ms);
+        openQueries.values().forEach(pending -> pending.replyDueAt += ms);
     }
 
-    /** Whether units of that customer's quota are leased here. */
+    /** Returns whether this gateway holds a lease of units of the customer's quota. */
     boolean holdsLease(double now, long customer) {
-        CustomerView k = customers.get(customer);
-        return k != null && k.quotaLease.held(now);
+        CustomerView view = customers.get(customer);
+        return view != null && view.quotaLease.isHeld(now);
     }
 
-    // ---- asking
+    // ---- admission
 
     /**
-     * Decides on a request, at once or when its keeper has answered; {@link Link#decided} is told, once.
+     * Decides on a request, at once or when a ledger replica has answered. The decision is passed to the {@link Link}
+     * exactly once, unless the request is abandoned first.
      *
-     * @param lastMs when it must be decided at the latest
+     * @param deadlineMs time at which the request must be decided at the latest
      */
-    public void want(double now, String id, QuotaMessage.Named named, double units, double lastMs) {
-        CustomerView k = known(now, named);
-        if (k == null) {
-            link.decided(now, id, new Decision(false, Why.GUESSED, 0, 0, null));
+    public void want(double now, String id, QuotaMessage.Named key, double units, double deadlineMs) {
+        CustomerView view = customerView(now, key);
+        if (view == null) {
+            link.decided(now, id, new Decision(false, Why.DEGRADED_MODE, 0, 0, null));
             return;
         }
-        PendingAdmission q = new PendingAdmission(id, k, units, lastMs);
-        if (k.terms.rate() <= 0) {
-            if (k.capped()) {
-                lender(now, q);
+        PendingAdmission pending = new PendingAdmission(id, view, units, deadlineMs);
+        if (view.terms.rate() <= 0) {
+            if (view.hasCeiling()) {
+                seekCeilingUnits(now, pending);
             } else {
-                next(now, q);
+                queryNextReplica(now, pending);
             }
             return;
         }
-        k.quotaLease.tried(now, units);
-        renewals.add(k);
-        if (!k.quotaLease.take(now, units)) {
-            next(now, q);
+        view.quotaLease.recordAttempt(now, units);
+        renewals.add(view);
+        if (!view.quotaLease.spend(now, units)) {
+            queryNextReplica(now, pending);
             return;
         }
-        counts.leased++;
-        q.quota = new Grant(LEASED, 0, named.customer(), units);
-        if (k.capped()) {
-            lender(now, q);
+        counts.leaseAdmissions++;
+        pending.quotaGrant = new Grant(OWN_LEASE, 0, key.customer(), units);
+        if (view.hasCeiling()) {
+            seekCeilingUnits(now, pending);
         } else {
-            link.decided(now, id, new Decision(true, Why.GRANTED, Double.POSITIVE_INFINITY, 0, q.quota));
+            link.decided(now, id, new Decision(true, Why.GRANTED, Double.POSITIVE_INFINITY, 0, pending.quotaGrant));
         }
     }
 
-    /** Nobody waits for the answer any more. */
+    /** Abandons a request: its decision is no longer wanted, and units granted for it are returned. */
     public void gone(String id) {
-        PendingAdmission waiting = queue.remove(id);
-        if (waiting != null) {
-            back(waiting.quota);
+        PendingAdmission queued = lenderQueue.remove(id);
+        if (queued != null) {
+            back(queued.quotaGrant);
             return;
         }
-        for (Iterator<PendingAdmission> it = open.values().iterator(); it.hasNext();) {
-            PendingAdmission q = it.next();
-            if (q.id.equals(id)) {
+        for (Iterator<PendingAdmission> it = openQueries.values().iterator(); it.hasNext();) {
+            PendingAdmission pending = it.next();
+            if (pending.id.equals(id)) {
                 it.remove();
-                end(q);
-                back(q.quota);
+                abandon(pending);
+                back(pending.quotaGrant);
                 return;
             }
         }
     }
 
-    /** What was granted was never sent on; null where nothing was. The word of it leaves with the next message or beat. */
+    /**
+     * Returns granted units that were never sent on; does nothing for null. The message leaves with the next message to the
+     * same gateway or with the next tick.
+     */
     public void back(Grant grant) {
         if (grant == null) {
             return;
         }
-        if (grant.keeper() == LEASED) {
-            CustomerView k = customers.get(grant.customer());
-            if (k != null) {
-                k.quotaLease.back(grant.units());
+        if (grant.grantor() == OWN_LEASE) {
+            CustomerView view = customers.get(grant.customer());
+            if (view != null) {
+                view.quotaLease.returnUnits(grant.units());
             }
             return;
         }
-        if (grant.keeper() != config.me()) {
-            say(grant.keeper(), new QuotaMessage.Back(grant.serial()));
+        if (grant.grantor() != config.self()) {
+            enqueue(grant.grantor(), new QuotaMessage.Back(grant.serial()));
             return;
         }
-        QuotaLedger b = books.get(grant.customer());
-        if (b != null) {
-            b.back(grant.units());
+        QuotaLedger ledger = ledgers.get(grant.customer());
+        if (ledger != null) {
+            ledger.returnUnits(grant.units());
         }
     }
 
-    private CustomerView known(double now, QuotaMessage.Named named) {
-        CustomerView k = customers.get(named.customer());
-        if (k == null && customers.size() < config.most() && named.plan() < config.plans().size()) {
-            k = new CustomerView(named, config.plans().get(named.plan()), keepers(named));
-            customers.put(named.customer(), k);
-            Heard h = hints.remove(named.customer());
-            if (h != null && h.hint().plan() == named.plan()) {
-                k.told(h.at(), h.hint().fullness() * k.terms.burst(), h.hint().demand());
+    /** Finds or adds the entry of a customer; returns null if the table is full or the plan is unknown. */
+    private CustomerView customerView(double now, QuotaMessage.Named key) {
+        CustomerView view = customers.get(key.customer());
+        if (view == null && customers.size() < config.maxCustomers() && key.plan() < config.plans().size()) {
+            view = new CustomerView(key, config.plans().get(key.plan()), placementOf(key));
+            customers.put(key.customer(), view);
+            ReceivedHint received = hints.remove(key.customer());
+            if (received != null && received.hint().plan() == key.plan()) {
+                view.recordReport(received.at(), received.hint().fullness() * view.terms.burst(), received.hint().demand());
             }
         }
-        if (k != null) {
-            k.usedAt = now;
+        if (view != null) {
+            view.lastUsedAt = now;
         }
-        return k;
+        return view;
     }
 
-    private LedgerPlacement keepers(QuotaMessage.Named named) {
-        return LedgerPlacement.of(named, peers.length, config.plans().get(named.plan()), ROOM * config.maxUnits());
+    private LedgerPlacement placementOf(QuotaMessage.Named key) {
+        return LedgerPlacement.of(key, peers.length, config.plans().get(key.plan()), REQUESTS_PER_CEILING_SHARE * config.maxUnits());
     }
 
-    private boolean there(double now, int gateway) {
-        Peer p = peers[gateway];
-        boolean there = gateway == config.me() || !p.silent && !p.leaves;
-        if (!there) {
-            knock(now, gateway, KNOCK_MS);
+    /** Returns whether queries may go to that gateway. If not, it is probed. */
+    private boolean isReachable(double now, int gateway) {
+        Peer peer = peers[gateway];
+        boolean reachable = gateway == config.self() || !peer.silent && !peer.shuttingDown;
+        if (!reachable) {
+            probe(now, gateway, PROBE_INTERVAL_MS);
         }
-        return there;
+        return reachable;
     }
 
-    /** Asks one that is passed over for a sign of life; where many are, only some of them. */
-    private void knock(double now, int gateway, double everyMs) {
-        Peer p = peers[gateway];
-        knocks = Math.min(KNOCKS_MAX, knocks + (now - knocksAt) * KNOCKS_PER_S / 1000);
-        knocksAt = now;
-        if (now - p.knockedAt >= everyMs && knocks >= 1) {
-            knocks--;
-            p.knockedAt = now;
-            say(gateway, new QuotaMessage.Presence(QuotaMessage.State.ASKS));
+    /** Sends a probe message to a peer that is being skipped. If many are skipped, only some of them get one. */
+    private void probe(double now, int gateway, double intervalMs) {
+        Peer peer = peers[gateway];
+        probeBudget = Math.min(PROBE_BURST, probeBudget + (now - probeBudgetAt) * PROBES_PER_S / 1000);
+        probeBudgetAt = now;
+        if (now - peer.probedAt >= intervalMs && probeBudget >= 1) {
+            probeBudget--;
+            peer.probedAt = now;
+            enqueue(gateway, new QuotaMessage.Presence(QuotaMessage.State.PROBE));
         }
     }
 
-    /** A peer is heard: not silent, and where this gateway had heard nobody, the others need not be either. */
-    private void hears(double now, Peer p) {
-        if (p.silent) {
-            p.silent = false;
-            knocks += KNOCKS_WON;
+    /**
+     * Records that a message arrived from a peer, which is thus not silent. If this gateway had received nothing from any peer for a
+     * while, the peers that turned silent in that time may be reachable as well.
+     */
+    private void noteReceived(double now, Peer peer) {
+        if (peer.silent) {
+            peer.silent = false;
+            probeBudget += PROBES_PER_RECOVERED_PEER;
         }
-        if (now - heardAt >= DEAF_MS) {
+        if (now - lastReceivedAt >= ISOLATED_AFTER_MS) {
             for (Peer other : peers) {
-                other.silent &= other.silentAt < heardAt;
+                other.silent &= other.silentAt < lastReceivedAt;
             }
-            customers.values().forEach(k -> k.unreported = 0); // of the time of a cut: too old to tell demand by
+            // recorded during a partition: too old to derive the demand from
+            customers.values().forEach(view -> view.unreportedUnits = 0);
         }
-        heardAt = now;
-        p.heardAt = now;
+        lastReceivedAt = now;
+        peer.lastReceivedAt = now;
     }
 
-    /** Turns to the next keeper of the book that is there, this gateway perhaps. */
-    private void next(double now, PendingAdmission q) {
-        CustomerView k = q.customer;
-        int[] books = k.keepers.books();
-        while (++q.place < books.length) {
-            q.peer = books[q.place];
-            if (q.peer == config.me()) {
-                judgeHere(now, q);
+    /** Turns to the next reachable replica of the ledger, which may be this gateway. */
+    private void queryNextReplica(double now, PendingAdmission pending) {
+        CustomerView view = pending.customer;
+        int[] replicas = view.placement.replicas();
+        while (++pending.replicaIndex < replicas.length) {
+            pending.peer = replicas[pending.replicaIndex];
+            if (pending.peer == config.self()) {
+                decideLocally(now, pending);
                 return;
             }
-            if (!there(now, q.peer)) {
+            if (!isReachable(now, pending.peer)) {
                 continue;
             }
-            if (emptyFor(now, k, q.units)) {
-                k.more += q.units;
-                refuse(now, q, Why.STORE);
+            if (isLikelyRefused(now, view, pending.units)) {
+                view.refusedLocally += pending.units;
+                refuse(now, pending, Why.STORE);
                 return;
             }
-            if (!creditRich(now) && plenty(now, k)) {
-                guess(now, q, true);
+            if (!isBudgetAmple(now) && isPlentiful(now, view)) {
+                decideDegraded(now, pending, true);
                 return;
             }
-            q.of = ownCeiling(now, k) >= q.units ? QuotaMessage.Of.STORE : QuotaMessage.Of.BOTH;
-            if (!ask(now, q)) {
-                guess(now, q, true);
+            pending.scope = ownCeilingUnits(now, view) >= pending.units
+                    ? QuotaMessage.UnitScope.QUOTA : QuotaMessage.UnitScope.BOTH;
+            if (!query(now, pending)) {
+                decideDegraded(now, pending, true);
             }
             return;
         }
-        guess(now, q, false);
+        decideDegraded(now, pending, false);
     }
 
-    /** Turns to who may have units of the ceiling: this gateway, its lease, or any other with a share, in an order of chance. */
-    private void lender(double now, PendingAdmission q) {
-        CustomerView k = q.customer;
-        boolean first = q.of != QuotaMessage.Of.CEILING;
-        q.of = QuotaMessage.Of.CEILING;
-        if (q.lenders.add(config.me()) && ownCeiling(now, k) >= q.units) {
-            judgeHere(now, q);
+    /**
+     * Turns to a gateway that may have units of the ceiling: this gateway, its lease, or any other share holder, in random
+     * order.
+     */
+    private void seekCeilingUnits(double now, PendingAdmission pending) {
+        CustomerView view = pending.customer;
+        boolean first = pending.scope != QuotaMessage.UnitScope.CEILING;
+        pending.scope = QuotaMessage.UnitScope.CEILING;
+        if (pending.triedLenders.add(config.self()) && ownCeilingUnits(now, view) >= pending.units) {
+            decideLocally(now, pending);
             return;
         }
         if (first) {
-            k.ceilingLease.tried(now, q.units);
-            renewals.add(k);
+            view.ceilingLease.recordAttempt(now, pending.units);
+            renewals.add(view);
         }
-        if (k.ceilingLease.take(now, q.units)) {
-            double leaveBy = Math.min(now + CeilingShare.USE_MS, k.ceilingLease.leaveBy());
-            accept(now, q, leaveBy);
+        if (view.ceilingLease.spend(now, pending.units)) {
+            double leaveBy = Math.min(now + CeilingShare.SEND_WITHIN_MS, view.ceilingLease.sendBy());
+            admit(now, pending, leaveBy);
             return;
         }
-        if (q.lenders.size() <= LENDERS && now + ANSWER_MS < q.lastMs) {
-            if (!queue.isEmpty() || !creditRich(now)) {
-                q.queued(now, QUEUED_MS);
-                if (now < q.leavesBy(ANSWER_MS) && anyLender(now, q) && queue.add(q)) {
+        if (pending.triedLenders.size() <= MAX_LENDERS && now + REPLY_TIMEOUT_MS < pending.deadlineMs) {
+            if (!lenderQueue.isEmpty() || !isBudgetAmple(now)) {
+                pending.markQueued(now, MAX_QUEUE_WAIT_MS);
+                if (now < pending.sendDeadline(REPLY_TIMEOUT_MS) && hasUsableLender(now, pending) && lenderQueue.add(pending)) {
                     return;
                 }
-            } else if (askLender(now, q)) {
+            } else if (queryLender(now, pending)) {
                 return;
             }
         }
-        back(q.quota);
-        refuse(now, q, Why.CEILING);
+        back(pending.quotaGrant);
+        refuse(now, pending, Why.CEILING);
     }
 
-    private boolean anyLender(double now, PendingAdmission q) {
-        return IntStream.of(q.customer.keepers.shares()).anyMatch(peer -> mayLend(now, q, peer));
+    /** Returns whether any share holder may still be queried for the request. */
+    private boolean hasUsableLender(double now, PendingAdmission pending) {
+        return IntStream.of(pending.customer.placement.shareHolders()).anyMatch(peer -> isUsableLender(now, pending, peer));
     }
 
-    private boolean askLender(double now, PendingAdmission q) {
-        int[] shares = q.customer.keepers.shares();
+    /** Queries share holders from a random one on; returns false if no query could be sent. */
+    private boolean queryLender(double now, PendingAdmission pending) {
+        int[] shares = pending.customer.placement.shareHolders();
         int from = shares.length == 0 ? 0 : random.nextInt(shares.length);
-        for (int i = 0; i < shares.length && q.lenders.size() <= LENDERS; i++) {
-            q.peer = shares[(from + i) % shares.length];
-            if (mayLend(now, q, q.peer) && q.lenders.add(q.peer) && ask(now, q)) {
+        for (int i = 0; i < shares.length && pending.triedLenders.size() <= MAX_LENDERS; i++) {
+            pending.peer = shares[(from + i) % shares.length];
+            if (isUsableLender(now, pending, pending.peer) && pending.triedLenders.add(pending.peer) && query(now, pending)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Questions that waited leave, as many in a message as one gateway can be asked. */
-    private void askQueued(double now) {
-        for (PendingAdmission q : queue.expired(now, ANSWER_MS)) {
-            back(q.quota);
-            refuse(now, q, Why.CEILING);
+    /** Sends queries that waited for message budget, as many in one message as one gateway can be sent. */
+    private void sendQueuedQueries(double now) {
+        for (PendingAdmission pending : lenderQueue.expired(now, REPLY_TIMEOUT_MS)) {
+            back(pending.quotaGrant);
+            refuse(now, pending, Why.CEILING);
         }
-        while (!queue.isEmpty() && open.size() < OPEN_MAX && takeCredit(now)) {
-            LenderQueue.Batch batch = queue.next((q, peer) -> mayLend(now, q, peer));
+        while (!lenderQueue.isEmpty() && openQueries.size() < MAX_OPEN_QUERIES && takeBudget(now)) {
+            LenderQueue.Batch batch = lenderQueue.next((pending, peer) -> isUsableLender(now, pending, peer));
             if (batch == null) {
                 return;
             }
-            for (PendingAdmission q : batch.questions()) {
-                q.peer = batch.peer();
-                q.lenders.add(q.peer);
-                begin(now, q);
-                put(now, q);
+            for (PendingAdmission pending : batch.queries()) {
+                pending.peer = batch.peer();
+                pending.triedLenders.add(pending.peer);
+                openQuery(now, pending);
+                enqueueQuery(now, pending);
             }
             flush();
         }
     }
 
-    /** Whether that peer is worth asking; one that leaves has units while it is there. */
-    private boolean mayLend(double now, PendingAdmission q, int peer) {
+    /** Returns whether a query to that peer is worth sending. A peer that shuts down still has units while it is reachable. */
+    private boolean isUsableLender(double now, PendingAdmission pending, int peer) {
         boolean silent = peers[peer].silent;
         if (silent) {
-            knock(now, peer, KNOCK_MS);
+            probe(now, peer, PROBE_INTERVAL_MS);
         }
-        return !silent && !q.lenders.contains(peer);
+        return !silent && !pending.triedLenders.contains(peer);
     }
 
-    /** What this gateway may give itself of a ceiling. */
-    private double ownCeiling(double now, CustomerView k) {
-        QuotaLedger own = k.keepers.shares(config.me()) ? book(now, k.named) : null;
-        return own == null ? 0 : own.ceiling(now, fill(now, own));
+    /** Returns the units of a ceiling that this gateway can grant itself. */
+    private double ownCeilingUnits(double now, CustomerView view) {
+        QuotaLedger own = view.placement.holdsShare(config.self()) ? ledgerFor(now, view.key) : null;
+        return own == null ? 0 : own.ceilingUnits(now, fillMode(now, own));
     }
 
-    /** False where no question may leave. */
-    private boolean ask(double now, PendingAdmission q) {
-        if (open.size() >= OPEN_MAX || now + ANSWER_MS >= q.lastMs || !takeCredit(now)) {
+    /** Sends a query; returns false if none may be sent. */
+    private boolean query(double now, PendingAdmission pending) {
+        if (openQueries.size() >= MAX_OPEN_QUERIES || now + REPLY_TIMEOUT_MS >= pending.deadlineMs || !takeBudget(now)) {
             return false;
         }
-        begin(now, q);
-        send(now, q);
+        openQuery(now, pending);
+        sendQuery(now, pending);
         return true;
     }
 
-    private void begin(double now, PendingAdmission q) {
-        q.serial = nextSerial();
-        q.sends = 0;
-        q.askedAt = now;
-        open.put(q.serial, q);
-        counts.asked++;
+    private void openQuery(double now, PendingAdmission pending) {
+        pending.serial = nextSerial();
+        pending.sendCount = 0;
+        pending.queriedAt = now;
+        openQueries.put(pending.serial, pending);
+        counts.queries++;
     }
 
-    /** Known from a recent word: the store can't have the units, or so little that most would ask in vain. */
-    private boolean emptyFor(double now, CustomerView k, double units) {
-        double age = now - k.toldAt;
-        if (k.terms.rate() <= 0 || age >= PRESSED_MS) {
+    /**
+     * Returns whether, by a recent report, the bucket cannot have the units, or has so little left that most queries would
+     * be refused.
+     */
+    private boolean isLikelyRefused(double now, CustomerView view, double units) {
+        double age = now - view.reportedAt;
+        if (view.terms.rate() <= 0 || age >= LOW_REPORT_VALID_MS) {
             return false;
         }
-        double most = k.level + k.terms.rate() * age / 1000;
-        if (age < FRESH_MS && most < units) {
+        double maxLevel = view.level + view.terms.rate() * age / 1000;
+        if (age < EMPTY_REPORT_VALID_MS && maxLevel < units) {
             return true;
         }
-        boolean pressed = most < PRESSED * k.terms.burst();
-        return pressed && random.nextDouble() * k.demand > ASKED_MORE * k.terms.rate();
+        boolean low = maxLevel < LOW_LEVEL_SHARE * view.terms.burst();
+        return low && random.nextDouble() * view.demand > LOW_LEVEL_QUERY_FACTOR * view.terms.rate();
     }
 
-    /** By a keeper's word the store has much, and fills faster than it is used. */
-    private boolean plenty(double now, CustomerView k) {
-        boolean known = k.toldAt != Double.NEGATIVE_INFINITY && now - k.toldAt < PLENTY_MS;
-        return known && k.level >= PLENTY * k.terms.burst() && k.demand <= PLENTY_RATE * k.terms.rate();
+    /** Returns whether, by a replica's report, the bucket is well filled and fills faster than it is used. */
+    private boolean isPlentiful(double now, CustomerView view) {
+        boolean hasReport = view.reportedAt != Double.NEGATIVE_INFINITY && now - view.reportedAt < PLENTIFUL_REPORT_VALID_MS;
+        return hasReport && view.level >= PLENTIFUL_LEVEL_SHARE * view.terms.burst()
+                && view.demand <= PLENTIFUL_DEMAND_SHARE * view.terms.rate();
     }
 
-    private double credit(double now) {
-        credit = Math.min(Math.max(1, perMs * CREDIT_MS), credit + (now - creditAt) * perMs);
-        creditAt = now;
-        return credit;
+    private double refillBudget(double now) {
+        budget = Math.min(Math.max(1, budgetPerMs * BUDGET_BURST_MS), budget + (now - budgetAt) * budgetPerMs);
+        budgetAt = now;
+        return budget;
     }
 
-    private boolean creditRich(double now) {
-        return credit(now) >= Math.max(1, CREDIT_LOW * perMs * CREDIT_MS);
+    private boolean isBudgetAmple(double now) {
+        return refillBudget(now) >= Math.max(1, AMPLE_BUDGET_SHARE * budgetPerMs * BUDGET_BURST_MS);
     }
 
-    private boolean takeCredit(double now) {
-        credit(now);
-        boolean has = credit >= 1;
-        credit -= has ? 1 : 0;
-        return has;
+    private boolean takeBudget(double now) {
+        refillBudget(now);
+        boolean available = budget >= 1;
+        budget -= available ? 1 : 0;
+        return available;
     }
 
-    private void send(double now, PendingAdmission q) {
-        put(now, q);
+    private void sendQuery(double now, PendingAdmission pending) {
+        enqueueQuery(now, pending);
         flush();
     }
 
-    private void put(double now, PendingAdmission q) {
-        q.sends++;
-        q.answerBy = now + ANSWER_MS;
-        say(q.peer, new QuotaMessage.Ask(q.serial, q.customer.named, q.units, q.customer.more, q.of));
-        q.customer.more = 0;
-        if (!peers[q.peer].leases) {
-            say(q.peer, new QuotaMessage.LeaseCapable());
+    private void enqueueQuery(double now, PendingAdmission pending) {
+        pending.sendCount++;
+        pending.replyDueAt = now + REPLY_TIMEOUT_MS;
+        enqueue(pending.peer, new QuotaMessage.Ask(
+                pending.serial, pending.customer.key, pending.units, pending.customer.refusedLocally, pending.scope));
+        pending.customer.refusedLocally = 0;
+        if (!peers[pending.peer].supportsLeases) {
+            enqueue(pending.peer, new QuotaMessage.LeaseCapable());
         }
     }
 
-    private void judgeHere(double now, PendingAdmission q) {
-        QuotaLedger b = book(now, q.customer.named);
-        if (b == null) {
-            guess(now, q, false);
+    private void decideLocally(double now, PendingAdmission pending) {
+        QuotaLedger ledger = ledgerFor(now, pending.customer.key);
+        if (ledger == null) {
+            decideDegraded(now, pending, false);
             return;
         }
-        q.askedAt = now;
-        q.peer = config.me();
-        QuotaMessage.Verdict v = b.judge(now, q.units, 0, q.of, 0, fill(now, b));
-        if (q.of != QuotaMessage.Of.CEILING) {
-            q.customer.told(now, b.grantable(now) * b.terms.burst(), b.demand());
+        pending.queriedAt = now;
+        pending.peer = config.self();
+        QuotaMessage.Verdict verdict = ledger.decide(now, pending.units, 0, pending.scope, 0, fillMode(now, ledger));
+        if (pending.scope != QuotaMessage.UnitScope.CEILING) {
+            pending.customer.recordReport(now, ledger.grantable(now) * ledger.terms.burst(), ledger.demand());
         }
-        verdict(now, q, v, new Grant(config.me(), 0, q.customer.named.customer(), q.units));
+        onVerdict(now, pending, verdict, new Grant(config.self(), 0, pending.customer.key.customer(), pending.units));
     }
 
-    /** @param grant of the store's units, where these were asked for */
-    private void verdict(double now, PendingAdmission q, QuotaMessage.Verdict v, Grant grant) {
-        boolean capped = q.customer.terms.ceilingRate() > 0;
-        if (q.of != QuotaMessage.Of.CEILING && (v == QuotaMessage.Verdict.GRANTED || v == QuotaMessage.Verdict.CEILING)) {
-            q.quota = grant;
+    /**
+     * Continues a request by the verdict on its last query.
+     *
+     * @param grant of the quota units, if these were queried for
+     */
+    private void onVerdict(double now, PendingAdmission pending, QuotaMessage.Verdict verdict, Grant grant) {
+        boolean hasCeiling = pending.customer.terms.ceilingRate() > 0;
+        if (pending.scope != QuotaMessage.UnitScope.CEILING
+                && (verdict == QuotaMessage.Verdict.GRANTED || verdict == QuotaMessage.Verdict.CEILING_EXHAUSTED)) {
+            pending.quotaGrant = grant;
         }
-        if (v == QuotaMessage.Verdict.GRANTED && q.of != QuotaMessage.Of.STORE && q.peer != config.me()) {
-            q.customer.lender = q.peer;
+        if (verdict == QuotaMessage.Verdict.GRANTED && pending.scope != QuotaMessage.UnitScope.QUOTA && pending.peer != config.self()) {
+            pending.customer.lastLender = pending.peer;
         }
-        if (v == QuotaMessage.Verdict.GRANTED && !(capped && q.of == QuotaMessage.Of.STORE)) {
-            double leaveBy = capped ? q.askedAt + CeilingShare.USE_MS : Double.POSITIVE_INFINITY;
+        if (verdict == QuotaMessage.Verdict.GRANTED && !(hasCeiling && pending.scope == QuotaMessage.UnitScope.QUOTA)) {
+            double leaveBy = hasCeiling ? pending.queriedAt + CeilingShare.SEND_WITHIN_MS : Double.POSITIVE_INFINITY;
             if (now < leaveBy) {
-                accept(now, q, leaveBy);
-            } else { // the units came too late to be used
-                back(q.quota);
-                refuse(now, q, Why.CEILING);
+                admit(now, pending, leaveBy);
+            } else { // the units arrived too late to be used
+                back(pending.quotaGrant);
+                refuse(now, pending, Why.CEILING);
             }
-        } else if (v == QuotaMessage.Verdict.GRANTED || v == QuotaMessage.Verdict.CEILING) {
-            if (v == QuotaMessage.Verdict.CEILING) {
-                q.lenders.add(q.peer);
+        } else if (verdict == QuotaMessage.Verdict.GRANTED || verdict == QuotaMessage.Verdict.CEILING_EXHAUSTED) {
+            if (verdict == QuotaMessage.Verdict.CEILING_EXHAUSTED) {
+                pending.triedLenders.add(pending.peer);
             }
-            lender(now, q);
-        } else { // where none can judge, two gateways were told different things of this customer
-            back(q.quota);
-            refuse(now, q, v == QuotaMessage.Verdict.STORE ? Why.STORE : Why.GUESSED);
+            seekCeilingUnits(now, pending);
+        } else { // if no replica can decide, two gateways were given different data about this customer
+            back(pending.quotaGrant);
+            refuse(now, pending, verdict == QuotaMessage.Verdict.STORE ? Why.STORE : Why.DEGRADED_MODE);
         }
     }
 
-    private void refuse(double now, PendingAdmission q, Why why) {
-        CustomerView k = q.customer;
-        double lacks = q.units - (k.level + k.terms.rate() * k.ageMs(now) / 1000);
-        double retryMs = why == Why.STORE && k.terms.rate() > 0 ? 1000 * Math.max(0, lacks) / k.terms.rate() : 0;
-        link.decided(now, q.id, new Decision(false, why, 0, retryMs, null));
+    private void refuse(double now, PendingAdmission pending, Why why) {
+        CustomerView view = pending.customer;
+        double missingUnits = pending.units - (view.level + view.terms.rate() * view.reportAgeMs(now) / 1000);
+        double retryMs = why == Why.STORE && view.terms.rate() > 0 ? 1000 * Math.max(0, missingUnits) / view.terms.rate() : 0;
+        link.decided(now, pending.id, new Decision(false, why, 0, retryMs, null));
     }
 
     /**
-     * Nobody can be asked, or need be: the store by what was last known of it, the ceiling by who has a share.
+     * Decides in degraded mode, if no replica can be queried or a query is not needed: the quota by the last known state of
+     * the bucket, the ceiling by the share holders.
      *
-     * @param keeperThere whether the demand is of use to a keeper: of the time of a cut it is old when it can be told
+     * @param replicaReachable whether the demand is worth recording for a report; demand during a partition is outdated
+     *     when it can be reported
      */
-    private void guess(double now, PendingAdmission q, boolean keeperThere) {
-        CustomerView k = q.customer;
-        double chance = DegradedModeEstimator.chance(k.terms, k.level, k.demand, k.ageMs(now), q.units);
-        if (random.nextDouble() >= chance) {
-            if (keeperThere) {
-                k.unreported += q.units;
-                reports.add(now, k);
+    private void decideDegraded(double now, PendingAdmission pending, boolean replicaReachable) {
+        CustomerView view = pending.customer;
+        double probability = DegradedModeEstimator.admissionProbability(
+                view.terms, view.level, view.demand, view.reportAgeMs(now), pending.units);
+        if (random.nextDouble() >= probability) {
+            if (replicaReachable) {
+                view.unreportedUnits += pending.units;
+                reports.add(now, view);
             }
-            refuse(now, q, Why.GUESSED);
+            refuse(now, pending, Why.DEGRADED_MODE);
             return;
         }
-        q.guessed = true;
-        k.unreported += keeperThere ? q.units : 0;
-        if (k.capped()) {
-            lender(now, q);
+        pending.degraded = true;
+        view.unreportedUnits += replicaReachable ? pending.units : 0;
+        if (view.hasCeiling()) {
+            seekCeilingUnits(now, pending);
         } else {
-            accept(now, q, Double.POSITIVE_INFINITY);
+            admit(now, pending, Double.POSITIVE_INFINITY);
         }
     }
 
-    private void accept(double now, PendingAdmission q, double leaveBy) {
-        if (q.guessed) {
-            CustomerView k = q.customer;
-            counts.guessed++;
-            k.level -= q.units;
-            k.guess(now, q.units);
-            if (k.unreported > 0) {
-                reports.add(now, k);
+    private void admit(double now, PendingAdmission pending, double leaveBy) {
+        if (pending.degraded) {
+            CustomerView view = pending.customer;
+            counts.degradedAdmissions++;
+            view.level -= pending.units;
+            view.recordDegraded(now, pending.units);
+            if (view.unreportedUnits > 0) {
+                reports.add(now, view);
             }
         }
-        link.decided(now, q.id, new Decision(true, q.guessed ? Why.GUESSED : Why.GRANTED, leaveBy, 0, q.quota));
+        link.decided(now, pending.id,
+                new Decision(true, pending.degraded ? Why.DEGRADED_MODE : Why.GRANTED, leaveBy, 0, pending.quotaGrant));
     }
 
     // ---- leases
 
-    /** Who is to be asked for a lease; -1 where nobody is, or this gateway has the units itself. */
-    private int leaseOwner(double now, CustomerView k, QuotaMessage.Of of) {
-        if (of == QuotaMessage.Of.CEILING) {
-            boolean usable = k.lender >= 0 && k.lender != config.me() && !peers[k.lender].silent;
-            return usable && peers[k.lender].leases ? k.lender : -1;
+    /** Returns the gateway to request a lease from; -1 if there is none or this gateway has the units itself. */
+    private int leaseOwner(double now, CustomerView view, QuotaMessage.UnitScope scope) {
+        if (scope == QuotaMessage.UnitScope.CEILING) {
+            boolean usable = view.lastLender >= 0 && view.lastLender != config.self() && !peers[view.lastLender].silent;
+            return usable && peers[view.lastLender].supportsLeases ? view.lastLender : -1;
         }
-        for (int keeper : k.keepers.books()) {
-            if (keeper == config.me()) {
+        for (int replica : view.placement.replicas()) {
+            if (replica == config.self()) {
                 return -1;
             }
-            if (there(now, keeper)) {
-                return peers[keeper].leases ? keeper : -1;
+            if (isReachable(now, replica)) {
+                return peers[replica].supportsLeases ? replica : -1;
             }
         }
         return -1;
     }
 
-    /** What was let in while no keeper was there is told once one is: it is much at once, and old soon. */
-    private void tellGuessed(double now, CustomerView k) {
-        int keeper = k.guessed > 0 && k.unreported <= 0 ? keeperInCharge(now, k) : -1;
-        if (keeper >= 0) {
-            reportUsage(now, keeper, k);
+    /**
+     * Reports what was admitted while no replica was reachable, as soon as one is: the amounts are large, and are soon
+     * outdated.
+     */
+    private void reportDegradedUnits(double now, CustomerView view) {
+        int replica = view.degradedUnits > 0 && view.unreportedUnits <= 0 ? reachableReplica(now, view) : -1;
+        if (replica >= 0) {
+            reportUsage(now, replica, view);
         }
     }
 
-    private int keeperInCharge(double now, CustomerView k) {
-        for (int keeper : k.keepers.books()) {
-            if (there(now, keeper)) {
-                return keeper;
+    /** Returns the first reachable replica of the customer's ledger, or -1. */
+    private int reachableReplica(double now, CustomerView view) {
+        for (int replica : view.placement.replicas()) {
+            if (isReachable(now, replica)) {
+                return replica;
             }
         }
         return -1;
     }
 
-    private void reportUsage(double now, int keeper, CustomerView k) {
-        double units = k.guessed(now);
-        if (keeper == config.me()) {
-            QuotaLedger own = book(now, k.named);
+    private void reportUsage(double now, int replica, CustomerView view) {
+        double units = view.decayedDegradedUnits(now);
+        if (replica == config.self()) {
+            QuotaLedger own = ledgerFor(now, view.key);
             if (own != null) {
-                own.used(now, units, k.unreported, fill(now, own));
-                k.told(now, own.level(), own.demand());
+                own.recordSpent(now, units, view.unreportedUnits, fillMode(now, own));
+                view.recordReport(now, own.level(), own.demand());
             }
-        } else if (k.unreported > 0 && peers[keeper].leases) {
-            say(keeper, new QuotaMessage.UsageReport(nextSerial(), k.named, units, k.unreported));
+        } else if (view.unreportedUnits > 0 && peers[replica].supportsLeases) {
+            enqueue(replica, new QuotaMessage.UsageReport(nextSerial(), view.key, units, view.unreportedUnits));
         } else {
-            say(keeper, new QuotaMessage.Used(nextSerial(), k.named, units));
+            enqueue(replica, new QuotaMessage.UnitsSpent(nextSerial(), view.key, units));
         }
-        k.guessed = 0;
-        k.unreported = 0;
+        view.degradedUnits = 0;
+        view.unreportedUnits = 0;
     }
 
-    private void hearUsageReport(double now, int from, Peer p, QuotaMessage.UsageReport u) {
-        QuotaLedger b = p.verdicts.of(now, u.serial()) == null ? bookOf(now, u.named(), from) : null;
-        if (b != null) {
-            p.verdicts.keep(now, u.serial(), QuotaMessage.Verdict.GRANTED, b, 0);
-            b.used(now, u.units(), u.tried(), fill(now, b));
-            say(from, new QuotaMessage.Hint(u.named().customer(), u.named().plan(), b.grantable(now), b.demand()));
+    private void onUsageReport(double now, int from, Peer peer, QuotaMessage.UsageReport report) {
+        QuotaLedger ledger = peer.replyCache.find(now, report.serial()) == null ? ledgerForMessage(now, report.key(), from) : null;
+        if (ledger != null) {
+            peer.replyCache.put(now, report.serial(), QuotaMessage.Verdict.GRANTED, ledger, 0);
+            ledger.recordSpent(now, report.units(), report.attempted(), fillMode(now, ledger));
+            enqueue(from, new QuotaMessage.DemandHint(
+                    report.key().customer(), report.key().plan(), ledger.grantable(now), ledger.demand()));
         }
     }
 
     private int nextSerial() {
-        serial = serial + 1 & QuotaMessage.WORD;
+        serial = serial + 1 & QuotaMessage.UINT16_MASK;
         return serial;
     }
 
-    private void hearLeaseRequest(double now, int from, Peer p, QuotaMessage.LeaseRequest request) {
-        QuotaLedger b = bookOf(now, request.named(), from);
+    private void onLeaseRequest(double now, int from, Peer peer, QuotaMessage.LeaseRequest request) {
+        QuotaLedger ledger = ledgerForMessage(now, request.key(), from);
         double units = 0;
-        if (b != null) {
-            units = b.lease(now, from, p.life.number(), request, before(now, b) < 0, fill(now, b));
+        if (ledger != null) {
+            units = ledger.lease(now, from, peer.incarnation.number(), request, precedingReplica(now, ledger) < 0, fillMode(now, ledger));
         }
         if (request.units() > 0) {
-            double fullness = b == null ? 0 : b.grantable(now);
-            say(from, new QuotaMessage.LeaseGrant(request.serial(), units, fullness, b == null ? 0 : b.demand()));
+            double fullness = ledger == null ? 0 : ledger.grantable(now);
+            enqueue(from, new QuotaMessage.LeaseGrant(request.serial(), units, fullness, ledger == null ? 0 : ledger.demand()));
         }
     }
 
-    private void hearLeaseGrant(double now, int from, Peer p, QuotaMessage.LeaseGrant grant) {
-        CustomerView k = renewals.granted(now, from, p.life.number(), grant);
-        if (k != null) {
-            k.told(now, grant.fullness() * k.terms.burst(), grant.demand());
+    private void onLeaseGrant(double now, int from, Peer peer, QuotaMessage.LeaseGrant grant) {
+        CustomerView view = renewals.onGrant(now, from, peer.incarnation.number(), grant);
+        if (view != null) {
+            view.recordReport(now, grant.fullness() * view.terms.burst(), grant.demand());
         }
     }
 
-    private void end(PendingAdmission q) {
-        ended.add(q.serial);
-        if (ended.size() > ENDED_MAX) {
-            ended.remove(ended.iterator().next());
+    private void abandon(PendingAdmission pending) {
+        abandoned.add(pending.serial);
+        if (abandoned.size() > MAX_ABANDONED_QUERIES) {
+            abandoned.remove(abandoned.iterator().next());
         }
     }
 
-    // ---- the beat
+    // ---- periodic work
 
-    /** Misses of answers, words to stand-ins, what is to be forgotten; due every some tens of milliseconds. */
+    /**
+     * Handles missing answers, sends ledgers to standby replicas, renews leases and forgets idle customers; to be called
+     * every few tens of milliseconds.
+     */
     public void beat(double now) {
-        if (hellos < HELLOS_MS.length && now - heardSince >= HELLOS_MS[hellos]) {
-            hellos++;
-            hello();
+        if (announcements < ANNOUNCEMENT_DELAYS_MS.length && now - firstHeardAt >= ANNOUNCEMENT_DELAYS_MS[announcements]) {
+            announcements++;
+            announce();
         }
-        for (PendingAdmission q : open.values().stream().filter(x -> now >= x.answerBy).toList()) {
-            if (open.get(q.serial) == q) { // no decision on the way has ended it
-                missed(now, q);
+        for (PendingAdmission pending : openQueries.values().stream().filter(x -> now >= x.replyDueAt).toList()) {
+            if (openQueries.get(pending.serial) == pending) { // a decision in this loop may have ended it
+                onReplyTimeout(now, pending);
             }
         }
-        if (now - syncedAt >= SYNC_MS) {
+        if (now - syncedAt >= SYNC_INTERVAL_MS) {
             syncedAt = now;
-            pressed.clear();
-            books.values().forEach(b -> sync(now, b));
-            books.values().stream().filter(b -> asksTooMuch(now, b)).forEach(pressed::add);
-            customers.values().forEach(k -> tellGuessed(now, k));
-        }
-        renewals.beat(now, renewing);
-        reports.beat(now, reporting);
-        askQueued(now);
-        if (now - sweptAt >= SWEEP_MS) {
+            overloaded.clear();
+            ledgers.values().forEach(ledger -> syncStandby(now, ledger));
+            ledgers.values().stream().filter(ledger -> isOverloaded(now, ledger)).forEach(overloaded::add);
+            customers.values().forEach(view -> reportDegradedUnits(now, view));
+        }
+        renewals.tick(now, renewalContext);
+        reports.tick(now, reportContext);
+        sendQueuedQueries(now);
+        if (now - sweptAt >= SWEEP_INTERVAL_MS) {
             sweptAt = now;
-            customers.values().removeIf(k -> now - k.usedAt > forgetMs(k.terms));
-            books.values().removeIf(b -> now - b.usedAt > forgetMs(b.terms));
+            customers.values().removeIf(view -> now - view.lastUsedAt > forgetMs(view.terms));
+            ledgers.values().removeIf(ledger -> now - ledger.lastUsedAt > forgetMs(ledger.terms));
         }
         flush();
     }
 
-    /** Once others have spoken the tier serves already, and may keep books for this one. */
-    private void hello() {
-        IntStream.of(LedgerPlacement.neighbours(config.me(), peers.length))
-                .forEach(g -> say(g, new QuotaMessage.Presence(QuotaMessage.State.SERVES)));
+    /** Announces this gateway. Once peers have sent messages the tier is in service, and may keep ledgers for this gateway. */
+    private void announce() {
+        IntStream.of(LedgerPlacement.potentialStandbys(config.self(), peers.length))
+                .forEach(g -> enqueue(g, new QuotaMessage.Presence(QuotaMessage.State.SERVING)));
     }
 
-    private boolean asksTooMuch(double now, QuotaLedger b) {
-        boolean mine = b.keepers.place(config.me()) >= 0 && b.terms.rate() > 0 && b.demand() > b.terms.rate();
-        if (!mine || before(now, b) >= 0) {
+    /** Returns whether this gateway is in charge of the ledger and its customer requests more than the quota allows. */
+    private boolean isOverloaded(double now, QuotaLedger ledger) {
+        boolean isReplica = ledger.placement.replicaIndex(config.self()) >= 0 && ledger.terms.rate() > 0
+                && ledger.demand() > ledger.terms.rate();
+        if (!isReplica || precedingReplica(now, ledger) >= 0) {
             return false;
         }
-        b.touch(now, fill(now, b));
-        return b.demand() > b.terms.rate() && b.fullness() < PRESSED;
+        ledger.advanceTo(now, fillMode(now, ledger));
+        return ledger.demand() > ledger.terms.rate() && ledger.fullness() < LOW_LEVEL_SHARE;
     }
 
-    /** The next few of them. */
-    private void hint(double now, int to) {
-        for (int i = 0; i < Math.min(HINTS, pressed.size()); i++) {
-            QuotaLedger b = pressed.get(hinted++ % pressed.size());
-            b.touch(now, fill(now, b));
-            say(to, new QuotaMessage.Hint(b.named.customer(), b.named.plan(), b.fullness(), b.demand()));
+    /** Enqueues the next few hints about overloaded customers for the given peer, in rotation. */
+    private void enqueueHints(double now, int to) {
+        for (int i = 0; i < Math.min(HINTS_PER_ANSWER, overloaded.size()); i++) {
+            QuotaLedger ledger = overloaded.get(nextHint++ % overloaded.size());
+            ledger.advanceTo(now, fillMode(now, ledger));
+            enqueue(to, new QuotaMessage.DemandHint(ledger.key.customer(), ledger.key.plan(), ledger.fullness(), ledger.demand()));
         }
-        hinted %= Math.max(1, pressed.size());
+        nextHint %= Math.max(1, overloaded.size());
     }
 
-    private void hearHint(double now, QuotaMessage.Hint h) {
-        if (h.plan() >= config.plans().size()) {
+    private void onHint(double now, QuotaMessage.DemandHint hint) {
+        if (hint.plan() >= config.plans().size()) {
             return;
         }
-        CustomerView k = customers.get(h.customer());
-        if (k == null) {
-            hints.remove(h.customer());
-            hints.put(h.customer(), new Heard(now, h));
-        } else if (k.named.plan() == h.plan()) {
-            k.told(now, h.fullness() * k.terms.burst(), h.demand());
+        CustomerView view = customers.get(hint.customer());
+        if (view == null) {
+            hints.remove(hint.customer());
+            hints.put(hint.customer(), new ReceivedHint(now, hint));
+        } else if (view.key.plan() == hint.plan()) {
+            view.recordReport(now, hint.fullness() * view.terms.burst(), hint.demand());
         }
-        if (hints.size() > HINTS_MAX) { // the one that has waited longest
+        if (hints.size() > MAX_HINTED_CUSTOMERS) { // evicts the oldest hint
             hints.remove(hints.keySet().iterator().next());
         }
     }
 
     private static double forgetMs(QuotaTerms terms) {
-        return Math.max(FORGET_MS, FILLED * terms.fillMs());
+        return Math.max(MIN_FORGET_AFTER_MS, FORGET_FILL_TIMES * terms.fillMs());
     }
 
-    private void missed(double now, PendingAdmission q) {
-        Peer p = peers[q.peer];
-        if (q.sends == 1) {
-            p.answers -= ANSWERS_GAIN * p.answers;
+    /** Sends the query again, or gives up on its receiver and turns to the next one. */
+    private void onReplyTimeout(double now, PendingAdmission pending) {
+        Peer peer = peers[pending.peer];
+        if (pending.sendCount == 1) {
+            peer.answeredShare -= ANSWERED_SHARE_GAIN * peer.answeredShare;
         }
-        // One that can't take in all that it is asked is not to be asked three times as much.
-        boolean again = q.sends < SENDS && p.answers >= ANSWERS_FEW && queue.isEmpty();
-        if (again && now + ANSWER_MS < q.lastMs && takeCredit(now)) {
-            counts.again++;
-            send(now, q);
+        // A peer that cannot process all queries it receives must not be sent three times as many.
+        boolean resend = pending.sendCount < MAX_SENDS && peer.answeredShare >= MIN_ANSWERED_SHARE_TO_RESEND && lenderQueue.isEmpty();
+        if (resend && now + REPLY_TIMEOUT_MS < pending.deadlineMs && takeBudget(now)) {
+            counts.retransmissions++;
+            sendQuery(now, pending);
             return;
         }
-        counts.missed++;
-        open.remove(q.serial);
-        end(q); // a grant that comes yet goes back: the next keeper's counts
-        if (p.heardAt < Math.min(q.askedAt, now - SENDS * ANSWER_MS)) {
-            p.silentAt = p.silent ? p.silentAt : now;
-            p.silent = true;
-            p.knockedAt = now - KNOCK_MS + HINTED_MS; // by chance all may have been lost
+        counts.misses++;
+        openQueries.remove(pending.serial);
+        abandon(pending); // a grant that still arrives is returned: the next replica's grant counts
+        if (peer.lastReceivedAt < Math.min(pending.queriedAt, now - MAX_SENDS * REPLY_TIMEOUT_MS)) {
+            peer.silentAt = peer.silent ? peer.silentAt : now;
+            peer.silent = true;
+            peer.probedAt = now - PROBE_INTERVAL_MS + HINTED_PROBE_INTERVAL_MS; // all messages may have been lost by chance
         }
-        if (q.of == QuotaMessage.Of.CEILING) {
-            lender(now, q);
+        if (pending.scope == QuotaMessage.UnitScope.CEILING) {
+            seekCeilingUnits(now, pending);
         } else {
-            next(now, q);
+            queryNextReplica(now, pending);
         }
     }
 
-    /** The first keeper that is there tells the one that would come after it. */
-    private void sync(double now, QuotaLedger b) {
-        int mine = b.keepers.place(config.me());
-        if (mine < 0 || b.usedAt <= b.toldAt || b.terms.rate() <= 0 || before(now, b) >= 0) {
+    /** Sends the ledger to the next reachable replica, if this gateway is the first reachable one. */
+    private void syncStandby(double now, QuotaLedger ledger) {
+        int ownIndex = ledger.placement.replicaIndex(config.self());
+        if (ownIndex < 0 || ledger.lastUsedAt <= ledger.syncSentAt || ledger.terms.rate() <= 0
+                || precedingReplica(now, ledger) >= 0) {
             return;
         }
-        int[] books = b.keepers.books();
-        for (int i = mine + 1; i < books.length; i++) {
-            if (there(now, books[i])) {
-                b.toldAt = now;
-                tellBook(now, b, books[i]);
+        int[] replicas = ledger.placement.replicas();
+        for (int i = ownIndex + 1; i < replicas.length; i++) {
+            if (isReachable(now, replicas[i])) {
+                ledger.syncSentAt = now;
+                enqueueSync(now, ledger, replicas[i]);
                 return;
             }
         }
     }
 
-    private void tellBook(double now, QuotaLedger b, int to) {
-        b.touch(now, fill(now, b));
-        say(to, new QuotaMessage.Sync(b.named, b.fullness(), b.demand()));
+    private void enqueueSync(double now, QuotaLedger ledger, int to) {
+        ledger.advanceTo(now, fillMode(now, ledger));
+        enqueue(to, new QuotaMessage.Sync(ledger.key, ledger.fullness(), ledger.demand()));
     }
 
     /**
-     * This gateway is about to end: its books go to the stand-ins. To the others it is silent soon enough; a word to all would
-     * cost each of them a message, and one in six would have asked before the return.
+     * Prepares the shutdown of this gateway: sends its ledgers to the standby replicas. The other gateways notice its
+     * silence soon enough. A message to all of them would cost each one message, and only one in six would have sent a
+     * query before the return.
      */
     public void leave(double now) {
-        books.values().forEach(b -> sync(now, b));
-        IntStream.of(LedgerPlacement.neighbours(config.me(), peers.length))
-                .forEach(g -> say(g, new QuotaMessage.Presence(QuotaMessage.State.LEAVES)));
+        ledgers.values().forEach(ledger -> syncStandby(now, ledger));
+        IntStream.of(LedgerPlacement.potentialStandbys(config.self(), peers.length))
+                .forEach(g -> enqueue(g, new QuotaMessage.Presence(QuotaMessage.State.LEAVES)));
         flush();
     }
 
-    // ---- hearing
+    // ---- received messages
 
     /**
-     * A peer's message; what is of no sense is ignored.
+     * Handles a message of a peer; items that make no sense are ignored.
      *
-     * @param message null where it was of an older version
+     * @param message null if it was of an older version
      */
     public void heard(double now, int from, QuotaMessage message) {
         if (message == null) {
-            olderAt = now;
+            olderVersionHeardAt = now;
             return;
         }
-        Peer p = peers[from];
-        boolean begins = !p.life.isKnown() || message.life() != p.life.number();
-        if (!p.life.hears(now, message.life())) {
+        Peer peer = peers[from];
+        boolean begins = !peer.incarnation.isKnown() || message.life() != peer.incarnation.number();
+        if (!peer.incarnation.hears(now, message.life())) {
             return;
         }
         if (begins) {
-            p.synced = false;
-            p.leaves = false;
-            p.leases = false;
-            p.verdicts.clear();
-        }
-        hears(now, p);
-        heardSince = Math.min(heardSince, now);
-        boolean answersMe = message.toLife() == (life & QuotaMessage.WORD);
-        boolean fresh = !p.synced || (short) (message.count() - p.syncCount) > 0;
+            peer.hasSynced = false;
+            peer.shuttingDown = false;
+            peer.supportsLeases = false;
+            peer.replyCache.clear();
+        }
+        noteReceived(now, peer);
+        firstHeardAt = Math.min(firstHeardAt, now);
+        boolean answersThisIncarnation = message.answeredIncarnation() == (incarnation & QuotaMessage.UINT16_MASK);
+        boolean fresh = !peer.hasSynced || (short) (message.sequence() - peer.syncSequence) > 0;
         for (QuotaMessage.Item item : message.items()) {
             if (item instanceof QuotaMessage.LeaseCapable) {
-                p.leases = true;
-                if (message.items().stream().anyMatch(i -> i instanceof QuotaMessage.Ask)) { // said until it is answered
-                    say(from, item);
+                peer.supportsLeases = true;
+                if (message.items().stream().anyMatch(i -> i instanceof QuotaMessage.Ask)) { // repeated until it is answered
+                    enqueue(from, item);
                 }
             } else if (item instanceof QuotaMessage.LeaseRequest r) {
-                p.leases = true;
-                hearLeaseRequest(now, from, p, r);
+                peer.supportsLeases = true;
+                onLeaseRequest(now, from, peer, r);
             } else if (item instanceof QuotaMessage.UsageReport u) {
-                p.leases = true;
-                hearUsageReport(now, from, p, u);
-            } else if (item instanceof QuotaMessage.LeaseGrant g && answersMe) {
-                hearLeaseGrant(now, from, p, g);
+                peer.supportsLeases = true;
+                onUsageReport(now, from, peer, u);
+            } else if (item instanceof QuotaMessage.LeaseGrant g && answersThisIncarnation) {
+                onLeaseGrant(now, from, peer, g);
             } else if (item instanceof QuotaMessage.Ask a) {
-                hearAsk(now, from, p, a);
-            } else if (item instanceof QuotaMessage.Answer a && answersMe) {
-                hearAnswer(now, from, a);
-            } else if (item instanceof QuotaMessage.Back b) {
-                p.verdicts.back(now, b.serial());
-            } else if (item instanceof QuotaMessage.Used u) {
-                hearUsed(now, from, p, u);
+                onQuery(now, from, peer, a);
+            } else if (item instanceof QuotaMessage.Answer a && answersThisIncarnation) {
+                onAnswer(now, from, a);
+            } else if (item instanceof QuotaMessage.Back back) {
+                peer.replyCache.returnUnits(now, back.serial());
+            } else if (item instanceof QuotaMessage.UnitsSpent u) {
+                onUnitsSpent(now, from, peer, u);
             } else if (item instanceof QuotaMessage.Sync s && fresh) {
-                p.synced = true;
-                p.syncCount = message.count();
-                hearSync(now, from, s);
-            } else if (item instanceof QuotaMessage.Hint h) {
-                hearHint(now, h);
+                peer.hasSynced = true;
+                peer.syncSequence = message.sequence();
+                onSync(now, from, s);
+            } else if (item instanceof QuotaMessage.DemandHint h) {
+                onHint(now, h);
             } else if (item instanceof QuotaMessage.Presence s) {
-                hearPresence(now, from, p, s.state());
+                onPresence(now, from, peer, s.state());
             }
         }
         if (message.items().stream().noneMatch(i -> i instanceof QuotaMessage.Answer || i instanceof QuotaMessage.LeaseGrant
-                || i instanceof QuotaMessage.Hint)) { // what answers a message of ours was counted with it
-            credit = Math.max(Math.min(credit, 0), credit(now) - 1);
+                || i instanceof QuotaMessage.DemandHint)) { // answers to messages of this gateway were counted with those
+            budget = Math.max(Math.min(budget, 0), refillBudget(now) - 1);
         }
         flush();
     }
 
     /**
-     * Versions before this one split a ceiling otherwise: half to the first keeper, half evenly over the set. While any of
-     * them speaks, this gateway has no more than such an even part, so that all shares stay within the whole.
+     * Returns how ceiling shares fill here. Earlier versions split a ceiling differently: half of it to the primary
+     * replica, half evenly over the set. While a gateway of such a version sends messages, this gateway has no more than
+     * such an even part, so that all shares together stay within the ceiling.
      */
-    private CeilingShare.Fill fill(double now, QuotaLedger b) {
-        boolean mixed = now - olderAt < OLDER_MS;
-        int shares = b.keepers.shares().length;
-        return new CeilingShare.Fill(filling, mixed && shares > 0 ? OLDER_EVEN * shares / b.named.spread() : 1);
+    private CeilingShare.FillMode fillMode(double now, QuotaLedger ledger) {
+        boolean besideOlderVersion = now - olderVersionHeardAt < OLDER_VERSION_TIMEOUT_MS;
+        int shares = ledger.placement.shareHolders().length;
+        return new CeilingShare.FillMode(filling,
+                besideOlderVersion && shares > 0 ? OLDER_VERSION_EVEN_PART * shares / ledger.key.spread() : 1);
     }
 
-    private QuotaLedger book(double now, QuotaMessage.Named named) {
-        QuotaLedger b = books.get(named.customer());
-        if (b != null) {
-            return b.named.equals(named) ? b : null; // the plan and the set that came first stand
+    /**
+     * Finds or creates the ledger of a customer; returns null if this gateway is no replica and no share holder, if the table
+     * is full, or if the ledger was created for another plan or set.
+     */
+    private QuotaLedger ledgerFor(double now, QuotaMessage.Named key) {
+        QuotaLedger ledger = ledgers.get(key.customer());
+        if (ledger != null) {
+            return ledger.key.equals(key) ? ledger : null; // the plan and the set received first stay in force
         }
-        if (books.size() >= config.most() || named.plan() >= config.plans().size()) {
+        if (ledgers.size() >= config.maxCustomers() || key.plan() >= config.plans().size()) {
             return null;
         }
-        LedgerPlacement keepers = keepers(named);
-        boolean holds = keepers.shares(config.me());
-        if (keepers.place(config.me()) < 0 && !holds) {
+        LedgerPlacement placement = placementOf(key);
+        boolean holdsShare = placement.holdsShare(config.self());
+        if (placement.replicaIndex(config.self()) < 0 && !holdsShare) {
             return null;
         }
-        QuotaTerms terms = config.plans().get(named.plan());
-        CeilingShare ceiling = holds ? new CeilingShare(terms, 1.0 / keepers.shares().length, fillsSince) : null;
-        b = new QuotaLedger(named, keepers, terms, ceiling, now);
-        books.put(named.customer(), b);
-        return b;
-    }
-
-    /** The book of a customer that a peer speaks of; null also where the peer or this gateway can't be of its set. */
-    private QuotaLedger bookOf(double now, QuotaMessage.Named named, int from) {
-        boolean possible = named.holds(from, peers.length) && named.holds(config.me(), peers.length);
-        return possible ? book(now, named) : null;
-    }
-
-    private void hearAsk(double now, int from, Peer p, QuotaMessage.Ask a) {
-        ReplyCache.Kept kept = p.verdicts.of(now, a.serial());
-        boolean news = kept == null;
-        QuotaLedger b = news ? bookOf(now, a.named(), from) : kept.book();
-        int before = b == null || a.of() == QuotaMessage.Of.CEILING ? -1 : before(now, b);
-        if (news) {
-            double spent = before >= 0 ? b.spentElsewhere(now) : 0;
-            QuotaMessage.Verdict v = b == null ? QuotaMessage.Verdict.UNABLE
-                    : b.judge(now, a.units(), a.more(), a.of(), spent, fill(now, b));
-            boolean took = a.of() != QuotaMessage.Of.CEILING && (v == QuotaMessage.Verdict.GRANTED || v == QuotaMessage.Verdict.CEILING);
-            kept = p.verdicts.keep(now, a.serial(), v, b, took ? a.units() : 0);
-            counts.unable += v == QuotaMessage.Verdict.UNABLE ? 1 : 0;
-            counts.stoodIn += before >= 0 ? 1 : 0;
-        }
-        if (news && before >= 0 && kept.units() > 0) { // two are asked for one book just now
-            say(before, new QuotaMessage.Used(nextSerial(), a.named(), kept.units()));
-        }
-        say(from, new QuotaMessage.Answer(a.serial(), kept.verdict(), b == null ? 0 : b.grantable(now), b == null ? 0 : b.demand(),
-                before >= 0));
-        hint(now, from);
-    }
-
-    /** The keeper that comes before this gateway and is there; -1 where this one is in charge. */
-    private int before(double now, QuotaLedger b) {
-        int mine = b.keepers.place(config.me());
-        for (int i = 0; i < mine; i++) {
-            if (there(now, b.keepers.books()[i])) {
-                return b.keepers.books()[i];
+        QuotaTerms terms = config.plans().get(key.plan());
+        CeilingShare ceiling = holdsShare ? new CeilingShare(terms, 1.0 / placement.shareHolders().length, fillingSince) : null;
+        ledger = new QuotaLedger(key, placement, terms, ceiling, now);
+        ledgers.put(key.customer(), ledger);
+        return ledger;
+    }
+
+    /**
+     * Returns the ledger of a customer that a peer's message is about; null also if the peer or this gateway cannot belong
+     * to its set.
+     */
+    private QuotaLedger ledgerForMessage(double now, QuotaMessage.Named key, int from) {
+        boolean possible = key.holds(from, peers.length) && key.holds(config.self(), peers.length);
+        return possible ? ledgerFor(now, key) : null;
+    }
+
+    private void onQuery(double now, int from, Peer peer, QuotaMessage.Ask query) {
+        ReplyCache.CachedVerdict cached = peer.replyCache.find(now, query.serial());
+        boolean isNew = cached == null;
+        QuotaLedger ledger = isNew ? ledgerForMessage(now, query.key(), from) : cached.ledger();
+        int preceding = ledger == null || query.scope() == QuotaMessage.UnitScope.CEILING ? -1 : precedingReplica(now, ledger);
+        if (isNew) {
+            double spentElsewhere = preceding >= 0 ? ledger.spentElsewhere(now) : 0;
+            QuotaMessage.Verdict verdict = ledger == null ? QuotaMessage.Verdict.CANNOT_DECIDE
+                    : ledger.decide(now, query.units(), query.refusedLocally(), query.scope(), spentElsewhere, fillMode(now, ledger));
+            boolean quotaGranted = query.scope() != QuotaMessage.UnitScope.CEILING
+                    && (verdict == QuotaMessage.Verdict.GRANTED || verdict == QuotaMessage.Verdict.CEILING_EXHAUSTED);
+            cached = peer.replyCache.put(now, query.serial(), verdict, ledger, quotaGranted ? query.units() : 0);
+            counts.undecided += verdict == QuotaMessage.Verdict.CANNOT_DECIDE ? 1 : 0;
+            counts.standbyDecisions += preceding >= 0 ? 1 : 0;
+        }
+        if (isNew && preceding >= 0 && cached.units() > 0) { // two replicas receive queries for one ledger at present
+            enqueue(preceding, new QuotaMessage.UnitsSpent(nextSerial(), query.key(), cached.units()));
+        }
+        enqueue(from, new QuotaMessage.Answer(query.serial(), cached.verdict(), ledger == null ? 0 : ledger.grantable(now),
+                ledger == null ? 0 : ledger.demand(), preceding >= 0));
+        enqueueHints(now, from);
+    }
+
+    /** Returns the reachable replica that precedes this gateway, or -1 if this gateway is in charge. */
+    private int precedingReplica(double now, QuotaLedger ledger) {
+        int ownIndex = ledger.placement.replicaIndex(config.self());
+        for (int i = 0; i < ownIndex; i++) {
+            if (isReachable(now, ledger.placement.replicas()[i])) {
+                return ledger.placement.replicas()[i];
             }
         }
         return -1;
     }
 
-    private void hearUsed(double now, int from, Peer p, QuotaMessage.Used u) {
-        QuotaLedger b = p.verdicts.of(now, u.serial()) == null ? bookOf(now, u.named(), from) : null;
-        if (b != null) {
-            p.verdicts.keep(now, u.serial(), QuotaMessage.Verdict.GRANTED, b, 0);
-            b.used(now, u.units(), 0, fill(now, b));
+    private void onUnitsSpent(double now, int from, Peer peer, QuotaMessage.UnitsSpent spent) {
+        QuotaLedger ledger = peer.replyCache.find(now, spent.serial()) == null ? ledgerForMessage(now, spent.key(), from) : null;
+        if (ledger != null) {
+            peer.replyCache.put(now, spent.serial(), QuotaMessage.Verdict.GRANTED, ledger, 0);
+            ledger.recordSpent(now, spent.units(), 0, fillMode(now, ledger));
         }
     }
 
-    private void hearAnswer(double now, int from, QuotaMessage.Answer a) {
-        PendingAdmission q = open.get(a.serial());
-        if (q == null || q.peer != from) {
-            boolean took = a.verdict() == QuotaMessage.Verdict.GRANTED || a.verdict() == QuotaMessage.Verdict.CEILING;
-            if (ended.remove(a.serial()) && took) {
-                say(from, new QuotaMessage.Back(a.serial()));
+    private void onAnswer(double now, int from, QuotaMessage.Answer answer) {
+        PendingAdmission pending = openQueries.get(answer.serial());
+        if (pending == null || pending.peer != from) {
+            boolean quotaGranted = answer.verdict() == QuotaMessage.Verdict.GRANTED
+                    || answer.verdict() == QuotaMessage.Verdict.CEILING_EXHAUSTED;
+            if (abandoned.remove(answer.serial()) && quotaGranted) {
+                enqueue(from, new QuotaMessage.Back(answer.serial()));
             }
             return;
         }
-        open.remove(a.serial());
-        if (q.sends == 1) {
-            peers[from].answers += ANSWERS_GAIN * (1 - peers[from].answers);
+        openQueries.remove(answer.serial());
+        if (pending.sendCount == 1) {
+            peers[from].answeredShare += ANSWERED_SHARE_GAIN * (1 - peers[from].answeredShare);
         }
-        if (a.standsIn()) { // asked of all that were passed over on the way
-            IntStream.range(0, q.place).forEach(i -> knock(now, q.customer.keepers.books()[i], HINTED_MS));
+        if (answer.fromStandby()) { // this query skipped all replicas that precede the sender; probe them
+            IntStream.range(0, pending.replicaIndex)
+                    .forEach(i -> probe(now, pending.customer.placement.replicas()[i], HINTED_PROBE_INTERVAL_MS));
         }
-        if (a.verdict() != QuotaMessage.Verdict.UNABLE && q.of != QuotaMessage.Of.CEILING) {
-            q.customer.told(now, a.fullness() * q.customer.terms.burst(), a.demand());
+        if (answer.verdict() != QuotaMessage.Verdict.CANNOT_DECIDE && pending.scope != QuotaMessage.UnitScope.CEILING) {
+            pending.customer.recordReport(now, answer.fullness() * pending.customer.terms.burst(), answer.demand());
         }
-        verdict(now, q, a.verdict(), new Grant(from, a.serial(), q.customer.named.customer(), q.units));
+        onVerdict(now, pending, answer.verdict(), new Grant(from, answer.serial(), pending.customer.key.customer(), pending.units));
     }
 
-    private void hearSync(double now, int from, QuotaMessage.Sync s) {
-        QuotaLedger b = bookOf(now, s.named(), from);
-        int theirs = b == null ? -1 : b.keepers.place(from);
-        int mine = b == null ? -1 : b.keepers.place(config.me());
-        if (theirs < 0 || mine < 0) {
+    private void onSync(double now, int from, QuotaMessage.Sync sync) {
+        QuotaLedger ledger = ledgerForMessage(now, sync.key(), from);
+        int senderIndex = ledger == null ? -1 : ledger.placement.replicaIndex(from);
+        int ownIndex = ledger == null ? -1 : ledger.placement.replicaIndex(config.self());
+        if (senderIndex < 0 || ownIndex < 0) {
             return;
         }
-        boolean inCharge = theirs < mine;
-        if (inCharge || !b.informed) {
-            b.told(now, s, inCharge, fill(now, b));
+        boolean senderInCharge = senderIndex < ownIndex;
+        if (senderInCharge || !ledger.informed) {
+            ledger.applySync(now, sync, senderInCharge, fillMode(now, ledger));
         }
     }
 
-    private void hearPresence(double now, int from, Peer p, QuotaMessage.State state) {
+    private void onPresence(double now, int from, Peer peer, QuotaMessage.State state) {
         switch (state) {
-            case SERVES -> {
-                p.leaves = false;
-                for (QuotaLedger b : books.values()) {
-                    int theirs = b.keepers.place(from);
-                    boolean active = now - b.usedAt < ACTIVE_MS && b.terms.rate() > 0;
-                    if (active && theirs >= 0 && theirs < b.keepers.place(config.me())) {
-                        tellBook(now, b, from);
+            case SERVING -> {
+                peer.shuttingDown = false;
+                for (QuotaLedger ledger : ledgers.values()) {
+                    int senderIndex = ledger.placement.replicaIndex(from);
+                    boolean active = now - ledger.lastUsedAt < ACTIVE_LEDGER_MS && ledger.terms.rate() > 0;
+                    if (active && senderIndex >= 0 && senderIndex < ledger.placement.replicaIndex(config.self())) {
+                        enqueueSync(now, ledger, from);
                     }
                 }
             }
-            case LEAVES -> p.leaves = true;
-            case ASKS -> say(from, new QuotaMessage.Presence(QuotaMessage.State.HERE));
+            case LEAVES -> peer.shuttingDown = true;
+            case PROBE -> enqueue(from, new QuotaMessage.Presence(QuotaMessage.State.PROBE_REPLY));
             default -> { }
         }
     }
 
-    /** {@code name=count} of what happened since this was last called. */
+    /** Returns {@code name=count} of the events since the last call. */
     public String counts() {
-        Counts c = counts;
+        Counts taken = counts;
         counts = new Counts();
-        return " asked=" + c.asked + " again=" + c.again + " missed=" + c.missed + " guessed=" + c.guessed
-                + " stood_in=" + c.stoodIn + " unable=" + c.unable + " leased=" + c.leased;
+        return " asked=" + taken.queries + " again=" + taken.retransmissions + " missed=" + taken.misses
+                + " guessed=" + taken.degradedAdmissions + " stood_in=" + taken.standbyDecisions
+                + " unable=" + taken.undecided + " leased=" + taken.leaseAdmissions;
     }
 
-    // ---- messages
+    // ---- sending
 
-    private void say(int to, QuotaMessage.Item item) {
-        due.computeIfAbsent(to, p -> new ArrayList<>()).add(item);
+    private void enqueue(int to, QuotaMessage.Item item) {
+        outbox.computeIfAbsent(to, peer -> new ArrayList<>()).add(item);
     }
 
-    /** All that is due leaves, as few messages a peer as it fits in. */
+    /** Sends all items that are due, in as few messages per peer as they fit into. */
     private void flush() {
-        for (Map.Entry<Integer, List<QuotaMessage.Item>> e : due.entrySet()) {
+        for (Map.Entry<Integer, List<QuotaMessage.Item>> e : outbox.entrySet()) {
             List<QuotaMessage.Item> part = new ArrayList<>();
-            int size = QuotaMessage.HEAD_BYTES;
+            int size = QuotaMessage.HEADER_BYTES;
             for (QuotaMessage.Item item : e.getValue()) {
-                int more = QuotaMessage.bytes(item);
-                if (size + more > QuotaMessage.MOST_BYTES) {
-                    tell(e.getKey(), peers[e.getKey()].life.number(), part);
+                int more = QuotaMessage.encodedSize(item);
+                if (size + more > QuotaMessage.MAX_BYTES) {
+                    sendNow(e.getKey(), peers[e.getKey()].incarnation.number(), part);
                     part = new ArrayList<>();
-                    size = QuotaMessage.HEAD_BYTES;
+                    size = QuotaMessage.HEADER_BYTES;
                 }
                 part.add(item);
                 size += more;
             }
-            tell(e.getKey(), peers[e.getKey()].life.number(), part);
+            sendNow(e.getKey(), peers[e.getKey()].incarnation.number(), part);
         }
-        due.clear();
+        outbox.clear();
     }
 
-    private void tell(int to, int toLife, List<QuotaMessage.Item> items) {
-        count = count + 1 & QuotaMessage.WORD;
-        link.tell(to, new QuotaMessage(life, toLife & QuotaMessage.WORD, count, items).bytes());
+    private void sendNow(int to, int receiverIncarnation, List<QuotaMessage.Item> items) {
+        sequence = sequence + 1 & QuotaMessage.UINT16_MASK;
+        link.tell(to, new QuotaMessage(incarnation, receiverIncarnation & QuotaMessage.UINT16_MASK, sequence, items).bytes());
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaLedger.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaLedger.java
@@ -1,163 +1,176 @@
 package marlford.gateway.quota;
 
 /**
- * One customer's stores as its keeper has them. The quota's store may be a little below nothing where a word of another
- * keeper says so; a grant never takes it there.
+ * The buckets of one customer as its ledger replica keeps them. The quota bucket can fall slightly below zero through a
+ * report of another replica; a grant never takes it below zero.
  */
 final class QuotaLedger {
-    /** Part of the burst that may be leased at a time. */
-    static final double LEASED_MOST = 0.7;
+    /** Share of the burst that may be leased at a time. */
+    static final double MAX_LEASED_SHARE = 0.7;
     /**
-     * Part of the burst that may be granted beyond what is here while as much is leased and not spent: a holder's idle units
-     * then refuse nobody. It is the most by which leases overrun a quota.
+     * Share of the burst that may be granted beyond the bucket's level while at least as much is leased and unspent, so
+     * that units that lie idle at a lease holder cause no refusals. It bounds the amount by which leases can overrun a
+     * quota.
      */
-    static final double OVERCOMMIT = 0.25;
-    private static final double DEMAND_MS = 2000; // averaging of demand: longer than gaps between requests
+    static final double OVERCOMMIT_SHARE = 0.25;
+    private static final double DEMAND_AVERAGING_MS = 2000; // longer than the gaps between requests
 
-    final QuotaMessage.Named named;
-    final LedgerPlacement keepers;
+    final QuotaMessage.Named key;
+    final LedgerPlacement placement;
     final QuotaTerms terms;
     private final LeaseLedger leases = new LeaseLedger();
-    private final CeilingShare ceiling; // null where the plan has none, or none of it is here
-    /** Whether it is known what was used before this gateway had the book, or it was there from the first. */
+    private final CeilingShare ceilingShare; // Null if the plan has no ceiling or this gateway has no share of it.
+    /** Whether this gateway knows what was spent before it held the ledger, or held it from the beginning. */
     boolean informed;
-    double usedAt;
-    double toldAt = Double.NEGATIVE_INFINITY;
-    private double toldOfAt = Double.NEGATIVE_INFINITY; // by another keeper
+    double lastUsedAt;
+    double syncSentAt = Double.NEGATIVE_INFINITY;
+    private double syncReceivedAt = Double.NEGATIVE_INFINITY; // When another replica last sent the state of this ledger.
     private double level;
     private double demand;
-    private double at;
+    private double updatedAt;
 
-    QuotaLedger(QuotaMessage.Named named, LedgerPlacement keepers, QuotaTerms terms, CeilingShare ceiling, double now) {
-        this.named = named;
-        this.keepers = keepers;
+    QuotaLedger(QuotaMessage.Named key, LedgerPlacement placement, QuotaTerms terms, CeilingShare ceilingShare, double now) {
+        this.key = key;
+        this.placement = placement;
         this.terms = terms;
-        this.ceiling = ceiling;
+        this.ceilingShare = ceilingShare;
         this.level = terms.burst();
-        this.at = now;
-        this.usedAt = now;
+        this.updatedAt = now;
+        this.lastUsedAt = now;
     }
 
-    void touch(double now, CeilingShare.Fill fill) {
-        double ms = now - at;
-        if (ms <= 0) {
+    /** Refills the quota bucket and decays the demand up to the given time. */
+    void advanceTo(double now, CeilingShare.FillMode fill) {
+        double elapsedMs = now - updatedAt;
+        if (elapsedMs <= 0) {
             return;
         }
-        if (fill.on()) {
-            level = Math.min(terms.burst() - leases.outstanding(now), level + ms / 1000 * terms.rate());
+        if (fill.active()) {
+            level = Math.min(terms.burst() - leases.outstanding(now), level + elapsedMs / 1000 * terms.rate());
         }
-        demand *= Math.exp(-ms / DEMAND_MS);
-        at = now;
+        demand *= Math.exp(-elapsedMs / DEMAND_AVERAGING_MS);
+        updatedAt = now;
     }
 
     /**
-     * Decides on a request of so many units, and takes them where there are any.
+     * Decides on a request and takes the units that it grants.
      *
-     * @param more units that the asker refused by itself
-     * @param spent units that another keeper of the book may have granted unheard
+     * @param units of the request
+     * @param refusedLocally units that the querying gateway has refused without a query
+     * @param spentElsewhere units that another replica may have granted and not yet reported
      */
-    QuotaMessage.Verdict judge(double now, double units, double more, QuotaMessage.Of of, double spent, CeilingShare.Fill fill) {
-        touch(now, fill);
-        usedAt = now;
-        if (of != QuotaMessage.Of.CEILING) {
-            demand += (units + more) / DEMAND_MS * 1000;
-            if (terms.rate() > 0 && level + unspentLeases(now) - spent < units) {
+    QuotaMessage.Verdict decide(double now, double units, double refusedLocally, QuotaMessage.UnitScope scope, double spentElsewhere,
+            CeilingShare.FillMode fill) {
+        advanceTo(now, fill);
+        lastUsedAt = now;
+        if (scope != QuotaMessage.UnitScope.CEILING) {
+            demand += (units + refusedLocally) / DEMAND_AVERAGING_MS * 1000;
+            if (terms.rate() > 0 && level + unspentLeases(now) - spentElsewhere < units) {
                 return QuotaMessage.Verdict.STORE;
             }
             level -= terms.rate() > 0 ? units : 0;
         }
-        if (of == QuotaMessage.Of.STORE || terms.ceilingRate() <= 0) {
+        if (scope == QuotaMessage.UnitScope.QUOTA || terms.ceilingRate() <= 0) {
             return QuotaMessage.Verdict.GRANTED;
         }
-        if (ceiling == null || ceiling.at(now, fill) < units) {
-            return QuotaMessage.Verdict.CEILING;
+        if (ceilingShare == null || ceilingShare.available(now, fill) < units) {
+            return QuotaMessage.Verdict.CEILING_EXHAUSTED;
         }
-        ceiling.give(now, units);
+        ceilingShare.grant(now, units);
         return QuotaMessage.Verdict.GRANTED;
     }
 
     /**
-     * Settles a request for a lease and grants what there is room for. What is leased leaves the store at once, and the store
-     * fills up to its burst less what is leased.
+     * Settles a lease request and grants what there is room for. Leased units leave the bucket at once, and the bucket
+     * fills up to its burst less the leased units.
      *
-     * @param life of the holder
-     * @param inCharge whether this gateway may lease the quota's units
-     * @return units granted beside those held
+     * @param incarnation of the lease holder
+     * @param inCharge whether this gateway may lease units of the quota
+     * @return units granted in addition to those held
      */
-    double lease(double now, int peer, int life, QuotaMessage.LeaseRequest request, boolean inCharge, CeilingShare.Fill fill) {
-        touch(now, fill);
-        usedAt = now;
-        if (request.of() == QuotaMessage.Of.CEILING) {
-            return ceiling == null ? 0 : ceiling.lease(now, peer, life, request, fill);
+    double lease(double now, int peer, int incarnation, QuotaMessage.LeaseRequest request, boolean inCharge, CeilingShare.FillMode fill) {
+        advanceTo(now, fill);
+        lastUsedAt = now;
+        if (request.scope() == QuotaMessage.UnitScope.CEILING) {
+            return ceilingShare == null ? 0 : ceilingShare.lease(now, peer, incarnation, request, fill);
         }
-        LeaseLedger.Settled settled = leases.settle(now, peer, life, request);
+        LeaseLedger.Settlement settled = leases.settle(now, peer, incarnation, request);
         if (settled.repeat()) {
             return settled.granted();
         }
-        demand += settled.spent() / DEMAND_MS * 1000;
+        demand += settled.spent() / DEMAND_AVERAGING_MS * 1000;
         level += settled.returned();
-        if (!inCharge || !fill.on() || terms.rate() <= 0) {
+        if (!inCharge || !fill.active() || terms.rate() <= 0) {
             return 0;
         }
-        double units = leases.grant(now, peer, life, request, level, LEASED_MOST * terms.burst());
+        double units = leases.grant(now, peer, incarnation, request, level, MAX_LEASED_SHARE * terms.burst());
         level -= units;
         return units;
     }
 
     private double unspentLeases(double now) {
-        return Math.min(leases.outstanding(now), OVERCOMMIT * terms.burst());
+        return Math.min(leases.outstanding(now), OVERCOMMIT_SHARE * terms.burst());
     }
 
-    /** As {@link #fullness}, with what a question may be granted beyond the store. */
+    /** Returns the fullness as in {@link #fullness}, plus what a query may be granted beyond the bucket's level. */
     double grantable(double now) {
         return terms.burst() > 0 ? (level + unspentLeases(now)) / terms.burst() : 1;
     }
 
-    /** Units of the ceiling that can be given here and now. */
-    double ceiling(double now, CeilingShare.Fill fill) {
-        return ceiling == null ? 0 : ceiling.at(now, fill);
+    /** Returns the ceiling units that this gateway can grant now. */
+    double ceilingUnits(double now, CeilingShare.FillMode fill) {
+        return ceilingShare == null ? 0 : ceilingShare.available(now, fill);
     }
 
-    /** Units of the quota's store that were granted and never used. */
-    void back(double units) {
+    /** Takes back quota units that were granted and never spent. */
+    void returnUnits(double units) {
         level = Math.min(terms.burst(), level + (terms.rate() > 0 ? units : 0));
     }
 
     /**
-     * Units that were let in without being asked for; what went beyond the quota took nothing from the store.
+     * Records units that were admitted without a query. Units beyond the quota took nothing from the bucket.
      *
-     * @param tried units let in or refused
+     * @param attempted units admitted or refused
      */
-    void used(double now, double units, double tried, CeilingShare.Fill fill) {
-        touch(now, fill);
-        usedAt = now;
-        demand += tried / DEMAND_MS * 1000;
+    void recordSpent(double now, double units, double attempted, CeilingShare.FillMode fill) {
+        advanceTo(now, fill);
+        lastUsedAt = now;
+        demand += attempted / DEMAND_AVERAGING_MS * 1000;
         level = Math.max(Math.min(level, 0), level - (terms.rate() > 0 ? units : 0));
     }
 
-    /** Another keeper's word: it stands in place of what is here, or counts where it says less. */
-    void told(double now, QuotaMessage.Sync sync, boolean inPlace, CeilingShare.Fill fill) {
-        touch(now, fill);
-        double said = sync.fullness() * terms.burst();
-        level = inPlace ? said : Math.min(level, said);
-        demand = inPlace ? sync.demand() : Math.max(demand, sync.demand());
+    /**
+     * Applies the state that another replica sent: it replaces the local state or, if {@code replaces} is false, lowers the
+     * level and raises the demand to the values sent.
+     */
+    void applySync(double now, QuotaMessage.Sync sync, boolean replaces, CeilingShare.FillMode fill) {
+        advanceTo(now, fill);
+        double sentLevel = sync.fullness() * terms.burst();
+        level = replaces ? sentLevel : Math.min(level, sentLevel);
+        demand = replaces ? sync.demand() : Math.max(demand, sync.demand());
         informed = true;
-        toldOfAt = now;
+        syncReceivedAt = now;
     }
 
-    /** What another keeper has likely granted since it last told of this book: all that is asked for, as far as it fills. */
+    /**
+     * Estimates what another replica has granted since it last sent this ledger: all that is requested, up to the bucket's
+     * rate.
+     */
     double spentElsewhere(double now) {
-        return toldOfAt == Double.NEGATIVE_INFINITY ? 0 : Math.min(demand, terms.rate()) * (now - toldOfAt) / 1000;
+        return syncReceivedAt == Double.NEGATIVE_INFINITY ? 0 : Math.min(demand, terms.rate()) * (now - syncReceivedAt) / 1000;
     }
 
+    /** Returns the level as a share of the burst; below zero it is a debt. */
     double fullness() {
         return terms.burst() > 0 ? level / terms.burst() : 1;
     }
 
+    /** Returns the level of the quota bucket in units. */
     double level() {
         return level;
     }
 
+    /** Returns the averaged demand in units per second. */
     double demand() {
         return demand;
     }
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaMessage.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaMessage.java
@@ -6,165 +6,188 @@
 import marlford.gateway.frame.Frame;
 
 /**
- * One message between two gateways of a large tier, or of one to all, and its bytes: version, check sum, the sender's life,
- * the life of the receiver that it answers, the sender's count of messages, then items. Translation only.
+ * One datagram between two gateways of a large tier, with its encoding: version, checksum, the sender's incarnation, the
+ * receiver's incarnation that it answers, the sender's sequence number, then the items. This type translates only; it
+ * decides nothing.
  *
- * @param life the sender's life; a later one begins all counts anew
- * @param toLife lowest 16 bits of the life that is answered; 0 where nothing is answered
- * @param count messages of this life up to this one, 16 bits, running over
- * @param items as many as {@link #MOST_BYTES} have room for
+ * @param life incarnation of the sender; a later incarnation restarts all counters
+ * @param answeredIncarnation lowest 16 bits of the incarnation that is answered; 0 if the message answers nothing
+ * @param sequence number of messages sent by this incarnation up to and including this one, 16 bits, wraps around
+ * @param items as many as fit into {@link #MAX_BYTES}
  */
-public record QuotaMessage(int life, int toLife, int count, List<Item> items) {
-    /** Largest message, in bytes. */
-    public static final int MOST_BYTES = 256;
-    static final int HEAD_BYTES = 11;
-    static final int WORD = 0xffff;
-    private static final byte VERSION = 5; // up to 4: the messages of smaller tiers
-    private static final int BYTE = 0xff;
-    private static final double PER_UNIT = 4; // fixed point of a request's units, in a byte
-    private static final double PER_STORE = 200; // fixed point of a store's filling, above nothing
-    private static final int EMPTY = 50; // the byte of a store at nothing: it may be below by a quarter of its burst
-    private static final double PER_ROOT = 16; // demand goes by its root: fine where it is small
-
-    /** How a keeper answered. */
+public record QuotaMessage(int life, int answeredIncarnation, int sequence, List<Item> items) {
+    /** Size of the largest message, in bytes. */
+    public static final int MAX_BYTES = 256;
+    static final int HEADER_BYTES = 11;
+    static final int UINT16_MASK = 0xffff;
+    private static final byte VERSION = 5; // Versions up to 4 are the messages of smaller tiers.
+    private static final int UINT8_MASK = 0xff;
+    private static final double UNITS_SCALE = 4; // Fixed-point scale of a request's units, which take one byte.
+    private static final double FULLNESS_SCALE = 200; // Fixed-point scale of a bucket's fullness.
+    // Byte value of an empty bucket. Smaller values are a debt, of up to a quarter of the burst.
+    private static final int FULLNESS_ZERO = 50;
+    // Fixed-point scale of the square root of the demand. The root gives small demands the finer resolution.
+    private static final double SQRT_DEMAND_SCALE = 16;
+
+    /** How a ledger replica decided on an admission query. */
     public enum Verdict {
-        /** The units are the asker's. */
+        /** The units are granted to the sender of the query. */
         GRANTED,
-        /** The customer's store has not got them. */
+        /** The customer's quota bucket lacks the units. */
         STORE,
-        /** The store's units are the asker's, but this keeper's share of the ceiling has not got them. */
-        CEILING,
-        /** This gateway can't judge: it has no room for the book, or the set can't be. */
-        UNABLE
+        /** The quota units are granted, but this replica's share of the ceiling lacks the units. */
+        CEILING_EXHAUSTED,
+        /** This gateway cannot decide: it has no room for the ledger, or the set of gateways in the query is impossible. */
+        CANNOT_DECIDE
     }
 
-    /** One thing said. */
+    /** One item of a message. */
     public sealed interface Item
-            permits Ask, Answer, Back, Used, Sync, Hint, Presence, LeaseCapable, LeaseRequest, LeaseGrant,
+            permits Ask, Answer, Back, UnitsSpent, Sync, DemandHint, Presence, LeaseCapable, LeaseRequest, LeaseGrant,
             UsageReport { }
 
-    /** A customer as messages name it: a number below 2 to the 33rd, its plan below 128, its set. */
+    /**
+     * A customer as messages identify it: an id below 2 to the 33rd, a plan number below 128, and the set of gateways that
+     * serve it.
+     *
+     * @param first index of the first gateway of the set
+     * @param spread number of consecutive gateways in the set, with wraparound
+     */
     public record Named(long customer, int plan, int first, int spread) {
-        /** Whether that gateway of so many is one of the set; never where the set is larger than the tier. */
-        public boolean holds(int gateway, int gateways) {
-            return spread > 0 && spread <= gateways && Math.floorMod(gateway - first, gateways) < spread;
+        /**
+         * Returns whether the gateway belongs to the set in a tier of this size; always false if the set is larger than the
+         * tier.
+         */
+        public boolean holds(int gateway, int tierSize) {
+            return spread > 0 && spread <= tierSize && Math.floorMod(gateway - first, tierSize) < spread;
         }
     }
 
     /**
-     * May a request of so many units be let in? A repeat carries the same serial.
+     * Asks whether a request of this many units may be admitted. A retransmission carries the same serial.
      *
-     * @param serial the asker's count of questions, 16 bits
+     * @param serial counter of the sender's queries, 16 bits
      * @param units 0 to 63.75
-     * @param more units asked of the sender since its last question that it refused by itself, 0 to 63.75
-     * @param of which units are asked for
+     * @param refusedLocally units that the sender has refused without a query since its last query for the customer, 0
+     *     to 63.75
+     * @param scope which units are requested
      */
-    public record Ask(int serial, Named named, double units, double more, Of of) implements Item { }
+    public record Ask(int serial, Named key, double units, double refusedLocally, UnitScope scope) implements Item { }
 
-    /** What units are asked for. */
-    public enum Of {
-        /** The quota's and, where there is one, the ceiling's. */
+    /** Which units an item is about. */
+    public enum UnitScope {
+        /** Units of the quota and, if the plan has a ceiling, of the ceiling. */
         BOTH,
-        /** The quota's: the asker has the ceiling's. */
-        STORE,
-        /** The ceiling's: the quota's were granted. */
+        /** Units of the quota only: the sender already has those of the ceiling. */
+        QUOTA,
+        /** Units of the ceiling only: those of the quota are already granted. */
         CEILING
     }
 
     /**
-     * @param fullness the store, as a share of its burst, -0.25 to 1
-     * @param demand units a second asked for everywhere, 0 to 254
-     * @param standsIn a keeper that comes before the sender is there, as far as this one knows
+     * The answer to an admission query.
+     *
+     * @param fullness level of the quota bucket as a share of its burst, -0.25 to 1
+     * @param demand units per second requested at all gateways, 0 to 254
+     * @param fromStandby whether a replica that precedes the sender is reachable, as far as the sender knows
      */
-    public record Answer(int serial, Verdict verdict, double fullness, double demand, boolean standsIn)
+    public record Answer(int serial, Verdict verdict, double fullness, double demand, boolean fromStandby)
             implements Item { }
 
-    /** The store's units granted to that question were not used and never will be. */
+    /** Returns the quota units granted for the query with this serial: they were not spent and never will be. */
     public record Back(int serial) implements Item { }
 
     /**
-     * So many units were let in without a keeper's word.
+     * Reports units that were admitted without the consent of the receiving ledger replica.
      *
      * @param units 0 to 63.75
      */
-    public record Used(int serial, Named named, double units) implements Item { }
+    public record UnitsSpent(int serial, Named key, double units) implements Item { }
 
-    /** A keeper's book for one that may have to stand in for it, or for a returned one that it belongs to. */
-    public record Sync(Named named, double fullness, double demand) implements Item { }
+    /** The state of a ledger, for a replica that may have to take over, or for a restarted one that precedes the sender. */
+    public record Sync(Named key, double fullness, double demand) implements Item { }
 
-    /** A customer that asks for more than it may, by the word of its keeper; for whoever may have to judge by himself. */
-    public record Hint(long customer, int plan, double fullness, double demand) implements Item { }
+    /**
+     * Load of a customer as its ledger replica knows it, for gateways that may have to decide without a query. It is sent
+     * for customers that request more than their quota, and in answer to a {@link UsageReport}.
+     */
+    public record DemandHint(long customer, int plan, double fullness, double demand) implements Item { }
 
-    /** What a gateway says of itself. */
+    /** A notice about the sender's own availability. */
     public record Presence(State state) implements Item { }
 
-    /** The states that a gateway tells. */
+    /** What a presence notice says. */
     public enum State {
-        /** It serves from now on, and has the books of no earlier life. */
-        SERVES,
-        /** It is about to end: others are to be asked in its place. */
+        /** The sender serves from now on and holds no ledger of an earlier incarnation. */
+        SERVING,
+        /** The sender is about to shut down: queries have to go to other replicas. */
         LEAVES,
-        /** It wants to know whether the receiver is there. */
-        ASKS,
-        /** It is there. */
-        HERE
+        /** The sender asks whether the receiver is reachable. */
+        PROBE,
+        /** The sender is reachable; the reply to a probe. */
+        PROBE_REPLY
     }
 
     /**
-     * The sender understands {@link LeaseRequest} and {@link LeaseGrant}, which earlier versions can't read. On the wire it is
-     * {@link State#HERE} twice: earlier versions ignore that, and never say it twice in one message themselves.
+     * Declares that the sender understands {@link LeaseRequest} and {@link LeaseGrant}, which earlier versions cannot
+     * decode. It is encoded as two consecutive presence notices with {@link State#PROBE_REPLY}: earlier versions ignore
+     * these and never send two of them in one message.
      */
     public record LeaseCapable() implements Item { }
 
     /**
-     * Asks a customer's keeper (or, for ceiling units, the holder of a share) for a lease, or renews one. A repeat carries the
-     * same serial and the same figures.
+     * Requests or renews a lease at a customer's ledger replica or, for ceiling units, at the holder of a ceiling share. A
+     * retransmission carries the same serial and the same amounts.
      *
-     * @param serial from the same counter as the serials of questions; a later request ends all earlier ones
-     * @param of {@link Of#STORE} or {@link Of#CEILING}
-     * @param units wanted beside those held, 0 to 63.75; 0 ends the lease
+     * @param serial from the same counter as the serials of queries; a later request supersedes all earlier ones
+     * @param scope {@link UnitScope#QUOTA} or {@link UnitScope#CEILING}
+     * @param units requested in addition to those held, 0 to 63.75; 0 ends the lease
      * @param held units of earlier grants that may still be spent or are on their way to a host, rounded up
-     * @param returned units of earlier grants that were not spent and never will be, rounded down; not among those held
+     * @param returned units of earlier grants that were not spent and never will be, rounded down; not included in
+     *     {@code held}
      */
-    public record LeaseRequest(int serial, Named named, Of of, double units, double held, double returned)
+    public record LeaseRequest(int serial, Named key, UnitScope scope, double units, double held, double returned)
             implements Item { }
 
     /**
      * The answer to a {@link LeaseRequest}.
      *
-     * @param units granted beside those held, 0 to 63.75
+     * @param units granted in addition to those held, 0 to 63.75
+     * @param fullness level of the quota bucket as a share of its burst
+     * @param demand units per second requested at all gateways
      */
     public record LeaseGrant(int serial, double units, double fullness, double demand) implements Item { }
 
     /**
-     * What was tried and let in without a keeper's word; as {@link LeaseRequest} only for those that are capable of it. It is
-     * answered by a {@link Hint}.
+     * Reports what was attempted and admitted without the consent of a ledger replica. Like a {@link LeaseRequest} it is
+     * sent only to gateways that declared {@link LeaseCapable}. The answer is a {@link DemandHint}.
      *
-     * @param units let in, 0 to 63.75
-     * @param tried units let in or refused, 0 to 63.75
+     * @param units admitted, 0 to 63.75
+     * @param attempted units admitted or refused, 0 to 63.75
      */
-    public record UsageReport(int serial, Named named, double units, double tried) implements Item { }
-
-    private static final int LEASE = 0; // this and the next three are flags of that kind
-    private static final int USAGE = 0;
-    private static final int LEASE_REQUEST = 0; // and the ordinal of the units wanted, 1 or 2
-    private static final int LEASE_GRANT = 3;
-    private static final int ASK = 1;
-    private static final int ANSWER = 2;
-    private static final int BACK = 3;
-    private static final int SYNC = 4;
-    private static final int PRESENCE = 5;
-    private static final int USED = 6;
-    private static final int STANDS_IN = 4; // a flag of answers, above the verdict
-    private static final int HINT = 7;
-    private static final int KIND = 7; // its bits
-    private static final int FLAGS_FROM = 3; // bits of the kind's byte from here on are flags
-
-    static int bytes(Item item) {
+    public record UsageReport(int serial, Named key, double units, double attempted) implements Item { }
+
+    private static final int KIND_LEASE = 0; // The flags tell a usage report, a request and a grant apart.
+    private static final int LEASE_FLAGS_USAGE_REPORT = 0;
+    private static final int LEASE_FLAGS_REQUEST = 0; // Plus the ordinal of the scope, 1 or 2.
+    private static final int LEASE_FLAGS_GRANT = 3;
+    private static final int KIND_QUERY = 1;
+    private static final int KIND_REPLY = 2;
+    private static final int KIND_UNITS_RETURNED = 3;
+    private static final int KIND_SYNC = 4;
+    private static final int KIND_PRESENCE = 5;
+    private static final int KIND_UNITS_SPENT = 6;
+    private static final int REPLY_FLAG_FROM_STANDBY = 4; // above the verdict
+    private static final int KIND_HINT = 7;
+    private static final int KIND_MASK = 7;
+    private static final int FLAGS_SHIFT = 3; // the bits above the kind are flags
+
+    /** Returns the size of an encoded item in bytes. */
+    static int encodedSize(Item item) {
         if (item instanceof Ask) {
             return 14;
         }
-        if (item instanceof Hint) {
+        if (item instanceof DemandHint) {
             return 8;
         }
         if (item instanceof LeaseRequest) {
@@ -179,66 +202,70 @@
         if (item instanceof LeaseCapable) {
             return 2;
         }
-        return item instanceof Sync ? 12 : item instanceof Used ? 13 : item instanceof Answer ? 5 : item instanceof Back ? 3 : 1;
+        return item instanceof Sync ? 12 : item instanceof UnitsSpent ? 13 : item instanceof Answer ? 5 : item instanceof Back ? 3 : 1;
     }
 
-    /** @throws IllegalArgumentException where there is more than fits */
+    /**
+     * Encodes this message.
+     *
+     * @throws IllegalArgumentException if the items exceed the maximum message size
+     */
     public byte[] bytes() {
-        int size = HEAD_BYTES + items.stream().mapToInt(QuotaMessage::bytes).sum();
-        if (size > MOST_BYTES) {
-            throw new IllegalArgumentException("too much for one message: " + size + " bytes");
+        int size = HEADER_BYTES + items.stream().mapToInt(QuotaMessage::encodedSize).sum();
+        if (size > MAX_BYTES) {
+            throw new IllegalArgumentException("message exceeds " + MAX_BYTES + " bytes: its items need " + size + " bytes");
         }
         ByteBuffer b = Frame.begin(VERSION, size);
-        b.putInt(life).putShort((short) toLife).putShort((short) count);
+        b.putInt(life).putShort((short) answeredIncarnation).putShort((short) sequence);
         items.forEach(i -> put(b, i));
         return Frame.end(b);
     }
 
     private static void put(ByteBuffer b, Item item) {
         if (item instanceof Ask a) {
-            b.put((byte) (ASK | a.of.ordinal() << FLAGS_FROM)).putShort((short) a.serial);
-            put(b, a.named);
-            b.put(fixed(a.units * PER_UNIT)).put(fixed(a.more * PER_UNIT));
+            b.put((byte) (KIND_QUERY | a.scope.ordinal() << FLAGS_SHIFT)).putShort((short) a.serial);
+            put(b, a.key);
+            b.put(toFixedPoint(a.units * UNITS_SCALE)).put(toFixedPoint(a.refusedLocally * UNITS_SCALE));
         } else if (item instanceof Answer a) {
-            int flags = a.verdict.ordinal() | (a.standsIn ? STANDS_IN : 0);
-            b.put((byte) (ANSWER | flags << FLAGS_FROM)).putShort((short) a.serial);
+            int flags = a.verdict.ordinal() | (a.fromStandby ? REPLY_FLAG_FROM_STANDBY : 0);
+            b.put((byte) (KIND_REPLY | flags << FLAGS_SHIFT)).putShort((short) a.serial);
             put(b, a.fullness, a.demand);
         } else if (item instanceof Back back) {
-            b.put((byte) BACK).putShort((short) back.serial);
-        } else if (item instanceof Used u) {
-            b.put((byte) USED).putShort((short) u.serial);
-            put(b, u.named);
-            b.put(fixed(u.units * PER_UNIT));
+            b.put((byte) KIND_UNITS_RETURNED).putShort((short) back.serial);
+        } else if (item instanceof UnitsSpent u) {
+            b.put((byte) KIND_UNITS_SPENT).putShort((short) u.serial);
+            put(b, u.key);
+            b.put(toFixedPoint(u.units * UNITS_SCALE));
         } else if (item instanceof Sync s) {
-            b.put((byte) SYNC);
-            put(b, s.named);
+            b.put((byte) KIND_SYNC);
+            put(b, s.key);
             put(b, s.fullness, s.demand);
-        } else if (item instanceof Hint h) {
-            b.put((byte) HINT);
+        } else if (item instanceof DemandHint h) {
+            b.put((byte) KIND_HINT);
             put(b, h.customer, h.plan);
             put(b, h.fullness, h.demand);
         } else if (item instanceof LeaseRequest r) {
-            b.put((byte) (LEASE | LEASE_REQUEST + r.of.ordinal() << FLAGS_FROM)).putShort((short) r.serial);
-            put(b, r.named);
-            b.put(fixed(r.units * PER_UNIT)).put(fixed(Math.ceil(r.held * PER_UNIT)));
-            b.put(fixed(Math.floor(r.returned * PER_UNIT)));
+            b.put((byte) (KIND_LEASE | LEASE_FLAGS_REQUEST + r.scope.ordinal() << FLAGS_SHIFT)).putShort((short) r.serial);
+            put(b, r.key);
+            b.put(toFixedPoint(r.units * UNITS_SCALE)).put(toFixedPoint(Math.ceil(r.held * UNITS_SCALE)));
+            b.put(toFixedPoint(Math.floor(r.returned * UNITS_SCALE)));
         } else if (item instanceof LeaseGrant g) {
-            b.put((byte) (LEASE | LEASE_GRANT << FLAGS_FROM)).putShort((short) g.serial);
-            b.put(fixed(g.units * PER_UNIT));
+            b.put((byte) (KIND_LEASE | LEASE_FLAGS_GRANT << FLAGS_SHIFT)).putShort((short) g.serial);
+            b.put(toFixedPoint(g.units * UNITS_SCALE));
             put(b, g.fullness, g.demand);
         } else if (item instanceof UsageReport u) {
-            b.put((byte) (LEASE | USAGE << FLAGS_FROM)).putShort((short) u.serial);
-            put(b, u.named);
-            b.put(fixed(u.units * PER_UNIT)).put(fixed(u.tried * PER_UNIT));
+            b.put((byte) (KIND_LEASE | LEASE_FLAGS_USAGE_REPORT << FLAGS_SHIFT)).putShort((short) u.serial);
+            put(b, u.key);
+            b.put(toFixedPoint(u.units * UNITS_SCALE)).put(toFixedPoint(u.attempted * UNITS_SCALE));
         } else if (item instanceof LeaseCapable) {
-            b.put(here()).put(here());
+            b.put(probeReplyByte()).put(probeReplyByte());
         } else if (item instanceof Presence p) {
-            b.put((byte) (PRESENCE | p.state.ordinal() << FLAGS_FROM));
+            b.put((byte) (KIND_PRESENCE | p.state.ordinal() << FLAGS_SHIFT));
         }
     }
 
-    private static byte here() {
-        return (byte) (PRESENCE | State.HERE.ordinal() << FLAGS_FROM);
+    private static byte probeReplyByte() {
+        return (byte) (KIND_PRESENCE | State.PROBE_REPLY.ordinal() << FLAGS_SHIFT);
     }
 
     private static void put(ByteBuffer b, long customer, int plan) {
@@ -250,112 +277,114 @@
         b.putShort((short) n.first).putShort((short) n.spread);
     }
 
-    /** A store is rounded down: what is told is never more than there is. */
+    /** Encodes the state of a bucket. The fullness is rounded down, so that the receiver never assumes more than there is. */
     private static void put(ByteBuffer b, double fullness, double demand) {
-        b.put((byte) Math.max(0, Math.min(BYTE, Math.floor(fullness * PER_STORE + 1e-6) + EMPTY)));
-        b.put(fixed(Math.sqrt(Math.max(0, demand)) * PER_ROOT));
+        b.put((byte) Math.max(0, Math.min(UINT8_MASK, Math.floor(fullness * FULLNESS_SCALE + 1e-6) + FULLNESS_ZERO)));
+        b.put(toFixedPoint(Math.sqrt(Math.max(0, demand)) * SQRT_DEMAND_SCALE));
     }
 
-    private static byte fixed(double value) {
-        return (byte) Math.max(0, Math.min(BYTE, Math.round(value)));
+    private static byte toFixedPoint(double value) {
+        return (byte) Math.max(0, Math.min(UINT8_MASK, Math.round(value)));
     }
 
-    /** Null where the bytes are no such message: short, long, damaged or of another version. */
+    /** Decodes a message. Returns null if the bytes are not a message of this version, whole and undamaged. */
     public static QuotaMessage read(byte[] data) {
-        ByteBuffer b = Frame.open(data, VERSION, HEAD_BYTES, MOST_BYTES);
+        ByteBuffer b = Frame.open(data, VERSION, HEADER_BYTES, MAX_BYTES);
         if (b == null) {
             return null;
         }
         int life = b.getInt();
-        int toLife = b.getShort() & WORD;
-        int count = b.getShort() & WORD;
+        int answeredIncarnation = b.getShort() & UINT16_MASK;
+        int sequence = b.getShort() & UINT16_MASK;
         List<Item> items = new ArrayList<>();
         while (b.hasRemaining()) {
-            Item item = item(b);
+            Item item = readItem(b);
             if (item == null) {
                 return null;
             }
             items.add(item);
         }
-        return new QuotaMessage(life, toLife, count, items);
+        return new QuotaMessage(life, answeredIncarnation, sequence, items);
     }
 
-    private static Item item(ByteBuffer b) {
-        int head = b.get() & BYTE;
-        int flags = head >>> FLAGS_FROM;
-        int rest = switch (head & KIND) {
-            case ASK -> 13;
-            case ANSWER -> 4;
-            case BACK -> 2;
-            case USED -> 12;
-            case SYNC -> 11;
-            case HINT -> 7;
-            case LEASE -> flags == LEASE_GRANT ? 5 : flags == USAGE ? 13 : 14;
+    private static Item readItem(ByteBuffer b) {
+        int head = b.get() & UINT8_MASK;
+        int flags = head >>> FLAGS_SHIFT;
+        int rest = switch (head & KIND_MASK) {
+            case KIND_QUERY -> 13;
+            case KIND_REPLY -> 4;
+            case KIND_UNITS_RETURNED -> 2;
+            case KIND_UNITS_SPENT -> 12;
+            case KIND_SYNC -> 11;
+            case KIND_HINT -> 7;
+            case KIND_LEASE -> flags == LEASE_FLAGS_GRANT ? 5 : flags == LEASE_FLAGS_USAGE_REPORT ? 13 : 14;
             default -> 0;
         };
         if (b.remaining() < rest) {
             return null;
         }
-        return switch (head & KIND) {
-            case ASK -> flags < Of.values().length
-                    ? new Ask(b.getShort() & WORD, named(b), amount(b), amount(b), Of.values()[flags]) : null;
-            case ANSWER -> flags < 2 * STANDS_IN ? new Answer(b.getShort() & WORD,
-                    Verdict.values()[flags % STANDS_IN], fullness(b), demand(b), flags >= STANDS_IN) : null;
-            case BACK -> new Back(b.getShort() & WORD);
-            case USED -> new Used(b.getShort() & WORD, named(b), amount(b));
-            case SYNC -> new Sync(named(b), fullness(b), demand(b));
-            case HINT -> hint(b);
-            case LEASE -> lease(flags, b);
-            default -> presence(flags, b);
+        return switch (head & KIND_MASK) {
+            case KIND_QUERY -> flags < UnitScope.values().length
+                    ? new Ask(b.getShort() & UINT16_MASK, readKey(b), readAmount(b), readAmount(b), UnitScope.values()[flags]) : null;
+            case KIND_REPLY -> flags < 2 * REPLY_FLAG_FROM_STANDBY ? new Answer(b.getShort() & UINT16_MASK,
+                    Verdict.values()[flags % REPLY_FLAG_FROM_STANDBY], readFullness(b), readDemand(b),
+                    flags >= REPLY_FLAG_FROM_STANDBY) : null;
+            case KIND_UNITS_RETURNED -> new Back(b.getShort() & UINT16_MASK);
+            case KIND_UNITS_SPENT -> new UnitsSpent(b.getShort() & UINT16_MASK, readKey(b), readAmount(b));
+            case KIND_SYNC -> new Sync(readKey(b), readFullness(b), readDemand(b));
+            case KIND_HINT -> readHint(b);
+            case KIND_LEASE -> readLeaseItem(flags, b);
+            default -> readPresence(flags, b);
         };
     }
 
-    private static Item presence(int flags, ByteBuffer b) {
+    private static Item readPresence(int flags, ByteBuffer b) {
         if (flags >= State.values().length) {
             return null;
         }
-        if (flags == State.HERE.ordinal() && b.hasRemaining() && b.get(b.position()) == here()) {
+        if (flags == State.PROBE_REPLY.ordinal() && b.hasRemaining() && b.get(b.position()) == probeReplyByte()) {
             b.get();
             return new LeaseCapable();
         }
         return new Presence(State.values()[flags]);
     }
 
-    private static Item lease(int flags, ByteBuffer b) {
-        if (flags == LEASE_GRANT) {
-            return new LeaseGrant(b.getShort() & WORD, amount(b), fullness(b), demand(b));
+    private static Item readLeaseItem(int flags, ByteBuffer b) {
+        if (flags == LEASE_FLAGS_GRANT) {
+            return new LeaseGrant(b.getShort() & UINT16_MASK, readAmount(b), readFullness(b), readDemand(b));
         }
-        if (flags == USAGE) {
-            return new UsageReport(b.getShort() & WORD, named(b), amount(b), amount(b));
+        if (flags == LEASE_FLAGS_USAGE_REPORT) {
+            return new UsageReport(b.getShort() & UINT16_MASK, readKey(b), readAmount(b), readAmount(b));
         }
-        return flags > LEASE_GRANT ? null
-                : new LeaseRequest(b.getShort() & WORD, named(b), Of.values()[flags], amount(b), amount(b), amount(b));
+        return flags > LEASE_FLAGS_GRANT ? null
+                : new LeaseRequest(b.getShort() & UINT16_MASK, readKey(b), UnitScope.values()[flags],
+                        readAmount(b), readAmount(b), readAmount(b));
     }
 
-    private static long customer(int head, ByteBuffer b) {
+    private static long readCustomer(int head, ByteBuffer b) {
         return (head & 1L) << 32 | b.getInt() & 0xffff_ffffL;
     }
 
-    private static Hint hint(ByteBuffer b) {
-        int head = b.get() & BYTE;
-        return new Hint(customer(head, b), head >>> 1, fullness(b), demand(b));
+    private static DemandHint readHint(ByteBuffer b) {
+        int head = b.get() & UINT8_MASK;
+        return new DemandHint(readCustomer(head, b), head >>> 1, readFullness(b), readDemand(b));
     }
 
-    private static Named named(ByteBuffer b) {
-        int head = b.get() & BYTE;
-        return new Named(customer(head, b), head >>> 1, b.getShort() & WORD, b.getShort() & WORD);
+    private static Named readKey(ByteBuffer b) {
+        int head = b.get() & UINT8_MASK;
+        return new Named(readCustomer(head, b), head >>> 1, b.getShort() & UINT16_MASK, b.getShort() & UINT16_MASK);
     }
 
-    private static double amount(ByteBuffer b) {
-        return (b.get() & BYTE) / PER_UNIT;
+    private static double readAmount(ByteBuffer b) {
+        return (b.get() & UINT8_MASK) / UNITS_SCALE;
     }
 
-    private static double fullness(ByteBuffer b) {
-        return ((b.get() & BYTE) - EMPTY) / PER_STORE;
+    private static double readFullness(ByteBuffer b) {
+        return ((b.get() & UINT8_MASK) - FULLNESS_ZERO) / FULLNESS_SCALE;
     }
 
-    private static double demand(ByteBuffer b) {
-        double root = (b.get() & BYTE) / PER_ROOT;
+    private static double readDemand(ByteBuffer b) {
+        double root = (b.get() & UINT8_MASK) / SQRT_DEMAND_SCALE;
         return root * root;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaTerms.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaTerms.java
@@ -1,18 +1,18 @@
 package marlford.gateway.quota;
 
 /**
- * What a plan allows each customer; 0 for a rate: no such limit.
+ * Limits that a plan sets for each of its customers. A rate of 0 means that there is no such limit.
  *
- * @param rate units a second into the quota's store
- * @param burst units that it holds, full at first
- * @param ceilingRate units a second into the ceiling's store
- * @param ceilingBurst units that it holds
+ * @param rate units per second that flow into the quota bucket
+ * @param burst capacity of the quota bucket in units; the bucket starts full
+ * @param ceilingRate units per second that flow into the ceiling bucket
+ * @param ceilingBurst capacity of the ceiling bucket in units
  */
 public record QuotaTerms(double rate, double burst, double ceilingRate, double ceilingBurst) {
-    /** Longest time, in milliseconds, in which an idle customer's stores have filled. */
+    /** Returns the time in milliseconds in which the slower of an idle customer's buckets fills up. */
     double fillMs() {
-        double quota = rate > 0 ? burst / rate : 0;
-        double ceiling = ceilingRate > 0 ? ceilingBurst / ceilingRate : 0;
-        return 1000 * Math.max(quota, ceiling);
+        double quotaFillS = rate > 0 ? burst / rate : 0;
+        double ceilingFillS = ceilingRate > 0 ? ceilingBurst / ceilingRate : 0;
+        return 1000 * Math.max(quotaFillS, ceilingFillS);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/ReplyCache.java
+++ b/gateway/src/main/java/marlford/gateway/quota/ReplyCache.java
@@ -1,43 +1,53 @@
 package marlford.gateway.quota;
 
 /**
- * What one peer was answered last, by the serials of its questions: a question that comes again has its first verdict and
- * takes nothing anew, and units are given back once. Bound: the last {@value #MOST} questions by serial, for
- * {@value #KEPT_MS} ms: no question or word of it is out so long, and serials run over, in hours at the least.
+ * The last verdicts sent to one peer, by the serials of its queries: a retransmitted query receives the first verdict and
+ * takes no further units, and units are returned at most once.
+ *
+ * <p>Bound: {@value #MAX_ENTRIES} serials, each for {@value #RETENTION_MS} ms. No query and no message about it is under
+ * way for longer than that, and serials wrap around only after hours.
  */
 final class ReplyCache {
-    static final int MOST = 32;
-    static final double KEPT_MS = 10_000;
+    static final int MAX_ENTRIES = 32;
+    static final double RETENTION_MS = 10_000;
 
-    /** @param units taken from the book's store, 0 where none were */
-    record Kept(double at, int serial, QuotaMessage.Verdict verdict, QuotaLedger book, double units) { }
+    /**
+     * One verdict.
+     *
+     * @param at time of the verdict in milliseconds
+     * @param units taken from the ledger's bucket and not returned, 0 if none
+     */
+    record CachedVerdict(double at, int serial, QuotaMessage.Verdict verdict, QuotaLedger ledger, double units) { }
 
-    private Kept[] kept; // from the first question on
+    private CachedVerdict[] entries; // Allocated with the first verdict.
 
+    /** Forgets all verdicts; to be called when a new incarnation of the peer begins. */
     void clear() {
-        kept = null;
+        entries = null;
     }
 
-    /** Null where no such question is remembered. */
-    Kept of(double now, int serial) {
-        Kept k = kept == null ? null : kept[serial % MOST];
-        return k != null && k.serial() == serial && now - k.at() < KEPT_MS ? k : null;
+    /** Returns the verdict for the serial, or null if none is cached. */
+    CachedVerdict find(double now, int serial) {
+        CachedVerdict entry = entries == null ? null : entries[serial % MAX_ENTRIES];
+        return entry != null && entry.serial() == serial && now - entry.at() < RETENTION_MS ? entry : null;
     }
 
-    Kept keep(double now, int serial, QuotaMessage.Verdict verdict, QuotaLedger ledger, double units) {
-        if (kept == null) {
-            kept = new Kept[MOST];
+    /** Caches a verdict, and evicts an older one whose serial shares its slot. */
+    CachedVerdict put(double now, int serial, QuotaMessage.Verdict verdict, QuotaLedger ledger, double units) {
+        if (entries == null) {
+            entries = new CachedVerdict[MAX_ENTRIES];
         }
-        Kept k = new Kept(now, serial, verdict, ledger, units);
-        kept[serial % MOST] = k;
-        return k;
+        CachedVerdict entry = new CachedVerdict(now, serial, verdict, ledger, units);
+        entries[serial % MAX_ENTRIES] = entry;
+        return entry;
     }
 
-    void back(double now, int serial) {
-        Kept k = of(now, serial);
-        if (k != null && k.book() != null) {
-            k.book().back(k.units());
-            kept[serial % MOST] = new Kept(k.at(), serial, k.verdict(), k.book(), 0);
+    /** Returns the units of that query to the ledger they were taken from, if they have not been returned yet. */
+    void returnUnits(double now, int serial) {
+        CachedVerdict entry = find(now, serial);
+        if (entry != null && entry.ledger() != null) {
+            entry.ledger().returnUnits(entry.units());
+            entries[serial % MAX_ENTRIES] = new CachedVerdict(entry.at(), serial, entry.verdict(), entry.ledger(), 0);
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/UsageReports.java
+++ b/gateway/src/main/java/marlford/gateway/quota/UsageReports.java
@@ -6,63 +6,63 @@
 import java.util.Set;
 
 /**
- * Tells keepers what was let in and refused here without their word, in batches: one message to a keeper has all of its
- * customers that wait, and the customer that waits longest says who is written to next. So where a gateway has few tries of
- * each of many customers, their number does not add to the messages.
+ * Reports to ledger replicas what was admitted and refused here without their consent, in batches: one message to a replica
+ * carries all of its waiting customers, and the customer that has waited longest determines the next receiver. So for a
+ * gateway with few attempts for each of many customers, the number of customers does not add to the number of messages.
  *
- * <p>Bound: each customer waits once. Pure: no I/O and no clock. Not thread-safe.
+ * <p>Bound: each customer waits at most once. No I/O and no clock; not thread-safe.
  */
 final class UsageReports {
-    private static final double WAIT_MS = 500; // at least, for others that go along
-    private static final double APART_MS = 100; // between two messages: other questions need some, too
-    private static final int BATCH = 15; // reports that fit one message, beside another item
+    private static final double MIN_WAIT_MS = 500; // Minimum time for further reports to join the batch.
+    private static final double MESSAGE_GAP_MS = 100; // Gap between two messages, which leaves message budget for other queries.
+    private static final int MAX_REPORTS_PER_MESSAGE = 15; // Reports that fit into one message next to another item.
 
-    /** What the reports need of their gateway. */
-    interface Side {
-        /** Who is in charge of the customer's book; -1 where nobody is there. */
-        int keeper(double now, CustomerView customer);
+    /** What the reports need from their gateway. */
+    interface Context {
+        /** Returns the replica in charge of the customer's ledger, or -1 if none is reachable. */
+        int replicaInCharge(double now, CustomerView customer);
 
-        /** Whether one more message may leave; it counts as left. */
-        boolean mayTell(double now);
+        /** Returns whether the message budget allows one more message, and takes it from the budget if so. */
+        boolean takeMessage(double now);
 
-        /** Tells that keeper, which may be this gateway. */
-        void report(double now, int keeper, CustomerView customer);
+        /** Sends a report to the replica, which may be this gateway itself. */
+        void report(double now, int replica, CustomerView customer);
     }
 
     private final Set<CustomerView> waiting = new LinkedHashSet<>();
-    private double toldAt = Double.NEGATIVE_INFINITY;
+    private double sentAt = Double.NEGATIVE_INFINITY;
 
-    /** Something was decided for that customer that its keeper does not know of. */
+    /** Enqueues a customer for which something was decided that its ledger replica does not know of. */
     void add(double now, CustomerView customer) {
         if (waiting.add(customer)) {
             customer.unreportedSince = now;
         }
     }
 
-    /** Tells what has waited long enough; due every some tens of milliseconds. */
-    void beat(double now, Side side) {
-        if (now - toldAt < APART_MS) {
+    /** Sends the reports that have waited long enough; to be called every few tens of milliseconds. */
+    void tick(double now, Context context) {
+        if (now - sentAt < MESSAGE_GAP_MS) {
             return;
         }
-        toldAt = now;
+        sentAt = now;
         int to = -1;
         List<CustomerView> batch = new ArrayList<>();
-        for (CustomerView c : waiting) {
-            if (to < 0 && now - c.unreportedSince < WAIT_MS || batch.size() == BATCH) {
+        for (CustomerView customer : waiting) {
+            if (to < 0 && now - customer.unreportedSince < MIN_WAIT_MS || batch.size() == MAX_REPORTS_PER_MESSAGE) {
                 break;
             }
-            int keeper = side.keeper(now, c);
-            if (to < 0 && keeper >= 0 && !side.mayTell(now)) {
+            int replica = context.replicaInCharge(now, customer);
+            if (to < 0 && replica >= 0 && !context.takeMessage(now)) {
                 return;
             }
-            to = to < 0 ? keeper : to;
-            if (keeper >= 0 && keeper == to) {
-                batch.add(c);
+            to = to < 0 ? replica : to;
+            if (replica >= 0 && replica == to) {
+                batch.add(customer);
             }
         }
-        for (CustomerView c : batch) {
-            waiting.remove(c);
-            side.report(now, to, c);
+        for (CustomerView customer : batch) {
+            waiting.remove(customer);
+            context.report(now, to, customer);
         }
     }
 }
