--- a/gateway/src/main/java/marlford/gateway/gossip/GossipScheduler.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/GossipScheduler.java
@@ -9,50 +9,52 @@
 import java.util.Random;
 
 /**
- * When a gateway of a large tier speaks to all others, and of whom. What changed goes first, longest waiting first; what
- * room is left repeats what was told lately, so that a lost message is made up for by one of the next.
+ * Decides when a gateway of a large tier sends a usage message to all others, and which customers it reports. Customers
+ * that changed come first, longest waiting first; the remaining room repeats recent reports, so that one of the next
+ * messages makes up for a lost one.
  *
- * <p><b>Cost.</b> Each message reaches every other gateway, and each takes in only so many a second: the gap grows with
- * the tier, and what one gateway takes in does not. Gaps are drawn about their mean, or a tier that started together would
- * speak together for good and pass every receiver's limit at once.
+ * <p><b>Cost.</b> Each message goes to every other gateway, and each gateway accepts only a limited number per second. The
+ * interval between messages therefore grows with the tier, while the number that one gateway receives stays the same.
+ * Intervals are drawn at random around their mean: gateways that started together would otherwise keep sending at the same
+ * moments and exceed every receiver's limit.
  *
- * <p>Pure: every call brings its time, in milliseconds; the source of chance is the caller's. Bound: {@code most}
- * customers wait or are repeated; beyond it the one that has waited longest is left out, and is told when it changes
- * again. Not thread-safe; it belongs to one event loop.
+ * <p>Pure: the caller passes the time, in milliseconds, to every call, and provides the random source. Memory: at most
+ * {@code maxCustomers} customers wait, and as many are repeated; above that the one that has waited longest is dropped and
+ * is reported when it changes again. Not thread-safe: used on one event loop only.
  */
 public final class GossipScheduler {
-    private static final int REPEATS = 3; // at one loss in ten, one change in ten thousand is not heard
-    private static final double JITTER = 0.25; // of the gap, to both sides
+    private static final int REPEATS_PER_CHANGE = 3; // with 10 % loss one change in 10 000 is lost in all its copies
+    private static final double INTERVAL_JITTER_SHARE = 0.25; // of the mean interval, in both directions
 
-    private static final double IDLE_MS = 1000; // beyond the gap
+    private static final double IDLE_EXTRA_INTERVAL_MS = 1000; // added to the interval while there is nothing to report
 
-    private final double gapMs;
-    private final int most;
+    private final double meanIntervalMs;
+    private final int maxCustomers;
     private final Random random;
     private final LinkedHashSet<Long> changed = new LinkedHashSet<>();
-    private final LinkedHashMap<Long, Integer> again = new LinkedHashMap<>();
-    private double dueAt;
+    private final LinkedHashMap<Long, Integer> repeatsLeft = new LinkedHashMap<>();
+    private double nextMessageMs;
 
     /**
-     * @param gapMs mean time between messages, in milliseconds; above 0
-     * @param most customers that may wait, at least 1
+     * @param meanIntervalMs mean time between messages, in milliseconds; above 0
+     * @param maxCustomers upper limit of customers that wait; at least 1
      */
-    public GossipScheduler(double now, double gapMs, int most, Random random) {
-        this.gapMs = gapMs;
-        this.most = most;
+    public GossipScheduler(double now, double meanIntervalMs, int maxCustomers, Random random) {
+        this.meanIntervalMs = meanIntervalMs;
+        this.maxCustomers = maxCustomers;
         this.random = random;
-        dueAt = now + gapMs * random.nextDouble();
+        nextMessageMs = now + meanIntervalMs * random.nextDouble();
     }
 
     /** The mean time between messages, in milliseconds. */
     public double gapMs() {
-        return gapMs;
+        return meanIntervalMs;
     }
 
-    /** There is something new to tell of this customer. */
+    /** Records that there is something new to report on this customer. */
     public void changed(long customer) {
-        again.remove(customer);
-        if (changed.add(customer) && changed.size() > most) {
+        repeatsLeft.remove(customer);
+        if (changed.add(customer) && changed.size() > maxCustomers) {
             dropFirst(changed.iterator());
         }
     }
@@ -63,37 +65,37 @@
     }
 
     /**
-     * Whether a message is to leave now: with nothing to tell one does so now and then, since who is silent is taken for
-     * one that is gone.
+     * Whether a message has to be sent now. A gateway with nothing to report still sends one from time to time, since peers
+     * take a silent gateway for dead.
      *
-     * @param more whether there is something to tell beside customers
+     * @param moreContent whether there is something to report other than customers
      */
-    public boolean due(double now, boolean more) {
-        boolean nothing = changed.isEmpty() && again.isEmpty() && !more;
-        return now >= (nothing ? dueAt + IDLE_MS : dueAt);
+    public boolean due(double now, boolean moreContent) {
+        boolean nothingToReport = changed.isEmpty() && repeatsLeft.isEmpty() && !moreContent;
+        return now >= (nothingToReport ? nextMessageMs + IDLE_EXTRA_INTERVAL_MS : nextMessageMs);
     }
 
-    /** The customers of the message that leaves now. */
-    public List<Long> next(double now, int room) {
-        dueAt = now + gapMs * (1 - JITTER + 2 * JITTER * random.nextDouble());
-        List<Long> told = new ArrayList<>(room);
-        for (Iterator<Long> it = changed.iterator(); it.hasNext() && told.size() < room; it.remove()) {
-            told.add(it.next());
+    /** The customers to report in the message that is sent now, at most {@code maxEntries}; schedules the next message. */
+    public List<Long> next(double now, int maxEntries) {
+        nextMessageMs = now + meanIntervalMs * (1 - INTERVAL_JITTER_SHARE + 2 * INTERVAL_JITTER_SHARE * random.nextDouble());
+        List<Long> reported = new ArrayList<>(maxEntries);
+        for (Iterator<Long> it = changed.iterator(); it.hasNext() && reported.size() < maxEntries; it.remove()) {
+            reported.add(it.next());
         }
-        int fresh = told.size();
-        List<Map.Entry<Long, Integer>> left = new ArrayList<>();
-        Iterator<Map.Entry<Long, Integer>> it = again.entrySet().iterator();
-        while (it.hasNext() && told.size() < room) {
+        int changedCount = reported.size();
+        List<Map.Entry<Long, Integer>> repeated = new ArrayList<>();
+        Iterator<Map.Entry<Long, Integer>> it = repeatsLeft.entrySet().iterator();
+        while (it.hasNext() && reported.size() < maxEntries) {
             Map.Entry<Long, Integer> next = it.next();
-            told.add(next.getKey());
-            left.add(Map.entry(next.getKey(), next.getValue() - 1));
+            reported.add(next.getKey());
+            repeated.add(Map.entry(next.getKey(), next.getValue() - 1));
             it.remove();
         }
-        left.stream().filter(e -> e.getValue() > 0).forEach(e -> again.put(e.getKey(), e.getValue()));
-        told.subList(0, fresh).forEach(id -> again.put(id, REPEATS));
-        while (again.size() > most) {
-            dropFirst(again.keySet().iterator());
+        repeated.stream().filter(e -> e.getValue() > 0).forEach(e -> repeatsLeft.put(e.getKey(), e.getValue()));
+        reported.subList(0, changedCount).forEach(id -> repeatsLeft.put(id, REPEATS_PER_CHANGE));
+        while (repeatsLeft.size() > maxCustomers) {
+            dropFirst(repeatsLeft.keySet().iterator());
         }
-        return told;
+        return reported;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/gossip/QuotaTransfers.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/QuotaTransfers.java
@@ -6,73 +6,80 @@
 import java.util.function.IntPredicate;
 
 /**
- * Units of one customer's ceiling that pass between gateways, each of which holds an even share of it: who has none left
- * asks one that has room, and that one deducts first and gives once.
+ * Transfers of one customer's ceiling units between gateways, each of which has an even share of the ceiling. A gateway
+ * that has none left (the borrower) sends a request to one that has units to spare (the lender), which deducts them first
+ * and grants them once.
  *
- * <p><b>Why it is safe.</b> What has been deducted and has not arrived is in nobody's store, while the true store may have
- * run over meanwhile: added late, it would be more than there is. So the giver keeps its own store that much below its
- * share for {@value #TERM_MS} ms from the giving, and the asker takes nothing that answers an asking older than the same
- * time. The asking left before the giving, so nothing arrives after the giver's term has ended, and at each moment the
- * stores and what is on its way are within the shares. The clocks need not agree; they may run apart in that time by
- * their difference, a few parts in a million. A loss loses units, and a repeat finds its asking answered.
+ * <p><b>Why it is safe.</b> Units that were deducted and have not arrived are in no gateway's bucket, while the true bucket
+ * may have overflowed meanwhile: added late, they would exceed what there is. So the lender keeps its own bucket that much
+ * below its share for {@value #REQUEST_TERM_MS} ms from the grant, and the borrower accepts no grant for a request that is older
+ * than that. The request was sent before the grant, so no grant is accepted after the lender's term has ended, and at each
+ * moment the buckets and the units in transit together stay within the shares. The clocks need not agree; they may drift
+ * apart in that time by the difference of the two terms, while real clocks differ by a few parts in a million. A lost grant
+ * loses its units, and a repeated one finds its request already answered.
  *
- * <p>Pure: every call brings its time, in milliseconds. Bound: one asking for each gateway of the customer's set. Not
- * thread-safe; it belongs to one event loop.
+ * <p>Pure: the caller passes the time, in milliseconds, to every call. Memory: one request for each gateway of the
+ * customer's set. Not thread-safe: used on one event loop only.
  */
 public final class QuotaTransfers {
-    /** How long an asking may be answered, in milliseconds: two rounds of a tier of thirty, and the way. */
-    public static final double TERM_MS = 1500;
-    private static final double APART_MS = 50; // the giver's term is longer by what timers and clocks may differ
-    private static final int TRIES = 8; // draws of a giver before none is asked this time
+    /** How long a request may be answered, in milliseconds: two gossip intervals of a tier of thirty, and the transit. */
+    public static final double REQUEST_TERM_MS = 1500;
+    private static final double LENDER_TERM_MARGIN_MS = 50; // the lender's term is longer, for late timers and clock drift
+    private static final int MAX_LENDER_DRAWS = 8; // draws of a lender before no request is sent this time
 
-    private record Asking(int count, double at) { }
+    /** A request that was not answered yet, with the number of the message that carried it. */
+    private record Request(int messageCount, double sentMs) { }
 
-    private final Map<Integer, Asking> askings = new HashMap<>();
-    private double lent;
-    private double lentTill = Double.NEGATIVE_INFINITY;
+    private final Map<Integer, Request> requestsByLender = new HashMap<>();
+    private double lentUnits;
+    private double lentUntilMs = Double.NEGATIVE_INFINITY;
 
-    /** What was given and may not have arrived yet. */
+    /** Units that were granted to others and may not have arrived yet. */
     public double lent(double now) {
-        if (now >= lentTill) {
-            lent = 0;
+        if (now >= lentUntilMs) {
+            lentUnits = 0;
         }
-        return lent;
+        return lentUnits;
     }
 
-    /** So many units were deducted here for another; all that is lent counts until the last of it has arrived. */
+    /** Records that units were deducted here for another gateway. All lent units count until the last grant's term ends. */
     public void gave(double now, double units) {
-        lent = lent(now) + units;
-        lentTill = now + TERM_MS + APART_MS;
+        lentUnits = lent(now) + units;
+        lentUntilMs = now + REQUEST_TERM_MS + LENDER_TERM_MARGIN_MS;
     }
 
     /**
-     * Someone of the set to ask, drawn so that those in need do not all turn to the same one; -1 where nobody was found.
+     * Draws a gateway of the customer's set to send a request to, at random so that borrowers do not all choose the same one.
      *
-     * @param usable whether that gateway is heard of and is likely to have units to spare
+     * @param first number of the first gateway of the set
+     * @param spread size of the set
+     * @param gateways size of the tier
+     * @param usable whether that gateway has been heard from recently and is likely to have units to spare
+     * @return the lender's number, or -1 if none was found
      */
     public int giver(double now, int first, int spread, int gateways, Random random, IntPredicate usable) {
-        for (int i = 0; i < TRIES; i++) {
-            int g = (first + random.nextInt(spread)) % gateways;
-            Asking open = askings.get(g);
-            if (usable.test(g) && (open == null || now - open.at() >= TERM_MS)) {
-                return g;
+        for (int i = 0; i < MAX_LENDER_DRAWS; i++) {
+            int lender = (first + random.nextInt(spread)) % gateways;
+            Request open = requestsByLender.get(lender);
+            if (usable.test(lender) && (open == null || now - open.sentMs() >= REQUEST_TERM_MS)) {
+                return lender;
             }
         }
         return -1;
     }
 
-    /** That gateway was asked in the message of this count. */
-    public void asked(double now, int giver, int count) {
-        askings.put(giver, new Asking(count, now));
+    /** Records that a request was sent to the lender in the message with this count. */
+    public void asked(double now, int lender, int messageCount) {
+        requestsByLender.put(lender, new Request(messageCount, now));
     }
 
-    /** Whether what that gateway gives in answer to the message of this count may be taken; true once. */
-    public boolean takes(double now, int giver, int count) {
-        Asking open = askings.get(giver);
-        boolean good = open != null && open.count() == count && now - open.at() < TERM_MS;
-        if (good) {
-            askings.remove(giver);
+    /** Whether a grant of the lender for the request in the message with this count may be accepted; true only once. */
+    public boolean takes(double now, int lender, int messageCount) {
+        Request open = requestsByLender.get(lender);
+        boolean valid = open != null && open.messageCount() == messageCount && now - open.sentMs() < REQUEST_TERM_MS;
+        if (valid) {
+            requestsByLender.remove(lender);
         }
-        return good;
+        return valid;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/lease/TwoPartyLeases.java
+++ b/gateway/src/main/java/marlford/gateway/lease/TwoPartyLeases.java
@@ -3,113 +3,121 @@
 import java.util.Arrays;
 
 /**
- * Who of two gateways may spend what only one of them may, while either may be gone and messages are late or lost.
- * The one that it belongs to, the holder, has it for as long as it knows that the other has heard of it lately; the
- * other, the heir, takes it once it has not heard of the holder for longer than that. So each pair of gateways keeps
- * two clocks and no agreement, and in a silence between two that both live the part changes hands once and is with
- * nobody in between. As in Gray and Cheriton, "Leases" (1989), with the holder's term counted from when it sent what
- * the heir answers to, so that neither delay nor loss can lengthen it.
+ * Leases between pairs of gateways: decide which of two may spend what only one of them may spend, although either may be
+ * down and messages may be delayed or lost. The holder, to which the resource belongs, keeps it while it knows that the
+ * successor received a recent message from it. The successor takes it over once it has received no message of the holder
+ * for a longer time. Each pair thus needs two timers and no agreement, and if two live gateways lose contact, the resource
+ * changes hands once and belongs to neither in between. As in Gray and Cheriton, "Leases" (1989), except that the holder's
+ * term counts from when it sent the message that the successor acknowledges, so neither delay nor loss can extend it.
  *
- * <p><b>Why it is safe.</b> An acknowledged message left the holder no later than the heir heard it. The holder counts
- * {@link Terms#holdMs} from its leaving, the heir the longer {@link Terms#takeMs} from its hearing. The clocks need
- * not agree; between the two times they may only run apart by their difference.
+ * <p><b>Why it is safe.</b> The holder sent an acknowledged message no later than the successor received it. The holder
+ * counts {@link Terms#holderTermMs} from sending, the successor the longer {@link Terms#takeoverSilenceMs} from receiving. The clocks need
+ * not agree; over these times they may drift apart by at most the difference between the two.
  *
- * <p><b>Stalls.</b> What came while the heir stood still was read after it, so a stall of its own is no silence: the
- * caller tells it with {@link #stalled}, and only {@link #beat} takes anything. A stall of the holder uses up its term.
+ * <p><b>Stalls.</b> Messages that arrive while the successor's process is paused are read only afterwards, so its own stall
+ * does not mean that the holder is silent: the caller reports it with {@link #stalled}, and only {@link #beat} takes
+ * anything over. A stall of the holder uses up its term.
  *
- * <p>Pure: every call brings its time, in milliseconds. Bound: four numbers for each peer. Not thread-safe; it
- * belongs to one event loop.
+ * <p>Every gateway is the holder of its own resources and the successor for those of its peers.
+ *
+ * <p>Pure: the caller passes the time, in milliseconds, to every call. Memory: six numbers for each peer. Not thread-safe:
+ * used on one event loop only.
  */
 public final class TwoPartyLeases {
     /**
-     * @param holdMs how long, in milliseconds, the holder's term lasts from the leaving of an answered message; above 0
-     * @param takeMs silence, in milliseconds, after which the heir takes over; above holdMs
+     * The two times of a lease.
+     *
+     * @param holderTermMs length of the holder's term in milliseconds, from sending an acknowledged message; above 0
+     * @param takeoverSilenceMs silence of the holder, in milliseconds, after which the successor takes over; above holderTermMs
      */
-    public record Terms(double holdMs, double takeMs) {
+    public record Terms(double holderTermMs, double takeoverSilenceMs) {
         public Terms {
-            if (!(holdMs > 0) || !(takeMs > holdMs)) {
-                throw new IllegalArgumentException("terms of a lease out of range");
+            if (!(holderTermMs > 0) || !(takeoverSilenceMs > holderTermMs)) {
+                throw new IllegalArgumentException("a lease needs 0 < holderTermMs < takeoverSilenceMs");
             }
         }
     }
 
-    /** In the place of a time: not held. */
+    /** Stands for a time and means "not held". */
     public static final double NOT = Double.POSITIVE_INFINITY;
 
-    private static final int NONE = -1;
+    private static final int NO_MESSAGE = -1;
 
     private final Terms terms;
-    private final int[] asked; // count of the message whose answer is awaited, or NONE
-    private final double[] askedAt;
-    private final double[] provenAt; // the peer is known to have heard what left then
-    private final double[] heldSince;
-    private final double[] heardAt;
-    private final double[] takenSince;
+    private final int[] unacknowledgedSerial; // of the oldest message not yet acknowledged, or NO_MESSAGE
+    private final double[] unacknowledgedSentMs;
+    private final double[] provenSentMs; // the peer is known to have received a message sent then or later
+    private final double[] heldSinceMs;
+    private final double[] lastReceivedMs;
+    private final double[] takenOverSinceMs;
 
-    /** @param now nobody is taken for silent before takeMs from here have passed */
+    /** @param now no peer counts as silent before takeoverSilenceMs have passed from this time */
     public TwoPartyLeases(Terms terms, int peers, double now) {
         this.terms = terms;
-        asked = new int[peers];
-        Arrays.fill(asked, NONE);
-        askedAt = new double[peers];
-        provenAt = new double[peers];
-        Arrays.fill(provenAt, Double.NEGATIVE_INFINITY);
-        heldSince = new double[peers];
-        heardAt = new double[peers];
-        Arrays.fill(heardAt, now);
-        takenSince = new double[peers];
-        Arrays.fill(takenSince, NOT);
+        unacknowledgedSerial = new int[peers];
+        Arrays.fill(unacknowledgedSerial, NO_MESSAGE);
+        unacknowledgedSentMs = new double[peers];
+        provenSentMs = new double[peers];
+        Arrays.fill(provenSentMs, Double.NEGATIVE_INFINITY);
+        heldSinceMs = new double[peers];
+        lastReceivedMs = new double[peers];
+        Arrays.fill(lastReceivedMs, now);
+        takenOverSinceMs = new double[peers];
+        Arrays.fill(takenOverSinceMs, NOT);
     }
 
-    /** A message of this count, 16 bits, left for the peer. */
-    public void told(double now, int peer, int count) {
-        if (asked[peer] == NONE) {
-            asked[peer] = count & 0xffff;
-            askedAt[peer] = now;
+    /** Records that a message with this serial number (its low 16 bits) was sent to the peer. */
+    public void told(double now, int peer, int serial) {
+        if (unacknowledgedSerial[peer] == NO_MESSAGE) {
+            unacknowledgedSerial[peer] = serial & 0xffff;
+            unacknowledgedSentMs[peer] = now;
         }
     }
 
-    /** The peer said, to this life, that the message of this count is the last it has heard. */
-    public void answered(double now, int peer, int count) {
-        if (asked[peer] == NONE || (short) (count - asked[peer]) < 0) {
+    /**
+     * Records an acknowledgement: the peer reports, to this incarnation of the gateway, that the message with this serial
+     * number is the last one it received.
+     */
+    public void answered(double now, int peer, int serial) {
+        if (unacknowledgedSerial[peer] == NO_MESSAGE || (short) (serial - unacknowledgedSerial[peer]) < 0) {
             return;
         }
         if (heldSince(now, peer) == NOT) {
-            heldSince[peer] = now;
+            heldSinceMs[peer] = now;
         }
-        provenAt[peer] = askedAt[peer]; // or later: this is the oldest that the answer can stand for
-        asked[peer] = NONE;
+        provenSentMs[peer] = unacknowledgedSentMs[peer]; // a lower bound: the acknowledged message may have been sent later
+        unacknowledgedSerial[peer] = NO_MESSAGE;
     }
 
-    /** Any message of the peer: from here on, what was taken of it is its own again. */
+    /** Records any message of the peer: what was taken over from it is its own again. */
     public void heard(double now, int peer) {
-        heardAt[peer] = now;
-        takenSince[peer] = NOT;
+        lastReceivedMs[peer] = now;
+        takenOverSinceMs[peer] = NOT;
     }
 
-    /** This gateway stood still for so long, in milliseconds, and heard nobody meanwhile. */
+    /** Records that this process was paused for {@code ms} milliseconds and read no message meanwhile. */
     public void stalled(double ms) {
-        for (int i = 0; i < heardAt.length; i++) {
-            heardAt[i] += ms;
+        for (int i = 0; i < lastReceivedMs.length; i++) {
+            lastReceivedMs[i] += ms;
         }
     }
 
-    /** To be called every few milliseconds, after {@link #stalled}: who has been silent for too long is taken over. */
+    /** Takes over from peers that have been silent for too long. To be called every few milliseconds, after {@link #stalled}. */
     public void beat(double now) {
-        for (int i = 0; i < heardAt.length; i++) {
-            if (takenSince[i] == NOT && now - heardAt[i] > terms.takeMs()) {
-                takenSince[i] = now;
+        for (int i = 0; i < lastReceivedMs.length; i++) {
+            if (takenOverSinceMs[i] == NOT && now - lastReceivedMs[i] > terms.takeoverSilenceMs()) {
+                takenOverSinceMs[i] = now;
             }
         }
     }
 
-    /** Since when this gateway holds what the peer would inherit, without a break; {@link #NOT} where it does not. */
-    public double heldSince(double now, int heir) {
-        return now < provenAt[heir] + terms.holdMs() ? heldSince[heir] : NOT;
+    /** Since when this gateway has continuously held what the successor would take over; {@link #NOT} if it does not hold it. */
+    public double heldSince(double now, int successor) {
+        return now < provenSentMs[successor] + terms.holderTermMs() ? heldSinceMs[successor] : NOT;
     }
 
-    /** Since when this gateway has what the peer held; {@link #NOT} where it has not. */
+    /** Since when this gateway has had what it took over from the holder; {@link #NOT} if it took nothing over. */
     public double takenSince(int holder) {
-        return takenSince[holder];
+        return takenOverSinceMs[holder];
     }
 }
--- a/gateway/src/main/java/marlford/gateway/list/HostList.java
+++ b/gateway/src/main/java/marlford/gateway/list/HostList.java
@@ -13,249 +13,266 @@
 import marlford.gateway.EngineApi.ListKind;
 
 /**
- * What a gateway holds of discovery's list, which of its words it takes, and how far it may go by a list that nobody
- * keeps. Pure: every call brings its time, nothing is read or sent, and the caller passes on what comes back.
+ * The gateway's copy of discovery's host list: decides which updates are accepted and how far a list that is no longer
+ * confirmed may be used. Pure: the caller passes the time to every call, does all I/O and forwards what is returned.
  *
- * <p><b>Which word is taken.</b> A list belongs to the agent that told it. From that agent a word is taken if its
- * version is not below the one held; from another agent only a whole list is, since versions of two agents need not
- * go on from each other. An agent whose whole list keeps coming with a lower version for
- * {@link Limits#renumberMs} counts from anew, and is believed then: refused for good it would leave the gateway deaf.
+ * <p><b>Which updates are accepted.</b> The list has a source, the agent that sent it. An update of that agent is accepted
+ * if its version is not below the version held. Another agent's update is accepted only if it is a full list, since
+ * versions of two agents need not continue each other. If the source keeps sending full lists with a lower version for
+ * {@link Limits#lowerVersionRejectMs}, it has restarted its numbering and is accepted: rejecting it for good would cut the gateway
+ * off from discovery.
  *
- * <p><b>Drains outlive their teller.</b> A host that was told to drain or to be gone stays closed when <em>another</em>
- * agent, or one that counts anew, lists the same life of it (same {@code startedMs}) as ready: that word may be older.
- * After {@link Limits#stickMs}, or with the next change that names the host, the newer teller is believed.
+ * <p><b>A drain survives a change of source.</b> A host that was reported as draining or gone stays closed when
+ * <em>another</em> agent, or one that restarted its numbering, lists the same incarnation of it (same {@code startedMs})
+ * as ready, because that report may be older. The newer source is accepted after {@link Limits#closedHoldMs}, or with its next
+ * change that names the host.
  *
- * <p><b>Hosts that operators leave out</b> drain, whatever any agent says, until they are taken back.
+ * <p><b>Hosts that operators exclude</b> drain, whatever any agent reports, until the exclusion ends.
  *
- * <p><b>The age of the list.</b> Each word taken, an empty one too, vouches for the list. One that is older than
- * {@link Limits#vouchMs} is gone by no more for hosts that have not answered this gateway within that time: they are
- * put aside as if they drained, those that answered longest ago first. At least {@link Limits#keptShare} of the
- * running ones, and one, always stay, since a list without a server serves nobody. The next word takes them back.
+ * <p><b>The age of the list.</b> Each accepted update, an empty one too, confirms the list. Once it has not been confirmed
+ * for {@link Limits#vouchMs}, hosts that have not answered this gateway within that time are suspended, that is, treated as
+ * draining, those whose last answer is oldest first. At least {@link Limits#retainedHostShare} of the running hosts, and at least
+ * one, always stay, since a gateway without a host can serve no request. The next accepted update ends the suspension.
  *
- * <p>Bound: as many entries as the list names, and at most {@value #GONE_MAX} of those that left it, each for
- * {@link Limits#goneMs}. Not thread-safe; it
- * belongs to one event loop.
+ * <p>Memory: one entry for each host on the list, and at most {@value #MAX_REMOVED_HOSTS} for hosts that were removed from
+ * it, each for {@link Limits#removedHostRetentionMs}. Not thread-safe: used on one event loop only.
  */
 public final class HostList {
     /**
-     * @param vouchMs age, in milliseconds, from which a list is no longer gone by alone; above 0
-     * @param keptShare share of the running hosts that stay however old the list is; 0 to 1
-     * @param stickMs how long, in milliseconds, another teller's word does not reopen a closed host; 0 or more
-     * @param renumberMs how long, in milliseconds, an agent's lower version counts as out of date; 0 or more
-     * @param goneMs how long, in milliseconds, a host that left the list is remembered; at least stickMs
+     * Time limits of a list.
+     *
+     * @param vouchMs age of the last accepted update, in milliseconds, above which the list alone no longer keeps a host in
+     *     use; above 0
+     * @param retainedHostShare share of the running hosts that stay in use however old the list is; 0 to 1
+     * @param closedHoldMs how long, in milliseconds, a report of another source does not reopen a closed host; 0 or more
+     * @param lowerVersionRejectMs how long, in milliseconds, full lists of the source with a lower version are rejected as outdated;
+     *     0 or more
+     * @param removedHostRetentionMs how long, in milliseconds, a host that was removed from the list is remembered; at least closedHoldMs
      */
-    public record Limits(double vouchMs, double keptShare, double stickMs, double renumberMs, double goneMs) {
-        /** As a gateway goes by, each stated in docs/operators/reload.md. */
+    public record Limits(double vouchMs, double retainedHostShare, double closedHoldMs, double lowerVersionRejectMs,
+            double removedHostRetentionMs) {
+        /** The values that a gateway uses; each is documented in docs/operators/reload.md. */
         public static final Limits DEFAULT = new Limits(30_000, 0.5, 10_000, 1000, 60_000);
 
         public Limits {
-            if (!(vouchMs > 0) || !(keptShare >= 0 && keptShare <= 1) || !(stickMs >= 0) || !(renumberMs >= 0)
-                    || !(goneMs >= stickMs)) {
-                throw new IllegalArgumentException("limits of a list's age out of range");
+            if (!(vouchMs > 0) || !(retainedHostShare >= 0 && retainedHostShare <= 1) || !(closedHoldMs >= 0)
+                    || !(lowerVersionRejectMs >= 0) || !(removedHostRetentionMs >= closedHoldMs)) {
+                throw new IllegalArgumentException("a time limit or share of the host list is out of range");
             }
         }
     }
 
-    /** What became of a word: whether it was taken, and what the gateway is to be told, if anything. */
+    /**
+     * The result of an update.
+     *
+     * @param taken whether the update was accepted
+     * @param kind what {@code hosts} stands for
+     * @param hosts the hosts to pass on to the decision engine, with the states that the gateway is to use
+     */
     public record Told(boolean taken, ListKind kind, List<Host> hosts) {
-        static final Told NOTHING = new Told(false, ListKind.FAILED, List.of());
+        static final Told REJECTED = new Told(false, ListKind.FAILED, List.of());
     }
 
-    /** Hosts that left the list and are remembered, at most; beyond it the first ones of the list are forgotten. */
-    static final int GONE_MAX = 10_000;
+    /** Upper limit of removed hosts that are remembered; above it those that were listed first are forgotten first. */
+    static final int MAX_REMOVED_HOSTS = 10_000;
 
-    /** No version is held: the next call asks for the whole list. */
+    /** Stands for "no version held": the next call has to request the full list. */
     public static final long NONE = -1;
 
-    private static final class Held {
-        Host host; // as discovery tells it
-        HostState told; // as the gateway goes by it
-        double closedAt = Double.NEGATIVE_INFINITY; // when this life was told to drain or to be gone
-        double shutTill = Double.NEGATIVE_INFINITY; // closed until then, whatever another teller says
-        double servedAt = Double.NEGATIVE_INFINITY;
-        boolean aside;
-        boolean leftOut; // by operators
+    /** What is known of one host. */
+    private static final class Entry {
+        Host host; // as last reported by discovery
+        HostState reportedState; // as last passed on to the decision engine
+        double closedAtMs = Double.NEGATIVE_INFINITY; // when this incarnation was reported as draining or gone
+        double heldClosedUntilMs = Double.NEGATIVE_INFINITY; // stays closed until then, whatever another source reports
+        double lastAnswerMs = Double.NEGATIVE_INFINITY;
+        boolean suspended; // since the list is too old
+        boolean excluded; // by operators
 
+        /** The state that the gateway is to use. */
         HostState state(double now) {
             if (host.state() != HostState.RUNNING) {
                 return host.state();
             }
-            return aside || leftOut || now < shutTill ? HostState.DRAINING : HostState.RUNNING;
+            return suspended || excluded || now < heldClosedUntilMs ? HostState.DRAINING : HostState.RUNNING;
         }
     }
 
     private final Limits limits;
-    private final Map<String, Held> held = new LinkedHashMap<>();
-    private Set<String> leftOut = Set.of();
-    private Object teller;
+    private final Map<String, Entry> entries = new LinkedHashMap<>();
+    private Set<String> excludedIds = Set.of();
+    private Object source;
     private long version = NONE;
-    private long knownVersion = NONE;
-    private boolean wholeDue; // what is held stays the measure of what is older, though no change may go on from it
-    private double vouchedAt;
-    private double olderSince = Double.NaN;
+    private long cachedVersion = NONE;
+    // While true no change is accepted, but versions are still compared with the one held.
+    private boolean fullListDue;
+    private double confirmedAtMs;
+    private double lowerVersionSinceMs = Double.NaN;
 
-    /** @param now the list's age counts from here until a word is taken; in milliseconds, as in all calls */
+    /** @param now start of the list's age until an update is accepted; in milliseconds, as in all calls */
     public HostList(Limits limits, double now) {
         this.limits = limits;
-        this.vouchedAt = now;
+        this.confirmedAtMs = now;
     }
 
-    /** The version to ask this agent to go on from, or {@link #NONE} where its whole list is due. */
+    /** The version from which to request changes of this agent, or {@link #NONE} if its full list is due. */
     public long version(Object agent) {
-        return agent.equals(teller) && !wholeDue ? version : NONE;
+        return agent.equals(source) && !fullListDue ? version : NONE;
     }
 
-    /** Milliseconds since a word was last taken. */
+    /** Milliseconds since an update was last accepted. */
     public double ageMs(double now) {
-        return now - vouchedAt;
+        return now - confirmedAtMs;
     }
 
-    /** What was told could not be passed on: the whole list is due again, and no older one than that. */
+    /** An accepted update could not be passed on: the full list is due again, in a version that is not lower. */
     public void lost() {
-        wholeDue = true;
+        fullListDue = true;
     }
 
     /**
-     * A list from before this gateway's start, of unknown age: a first word replaces it without more ado.
+     * Loads a list that was cached before this process started. Its age is unknown, so the first full list of any agent
+     * replaces it unconditionally.
      *
-     * @param knownVersion what the list said of itself, or {@link #NONE}
+     * @param cachedVersion the version that was stored with the list, or {@link #NONE}
      */
-    public Told known(List<Host> hosts, long knownVersion) {
-        this.knownVersion = knownVersion;
+    public Told known(List<Host> hosts, long cachedVersion) {
+        this.cachedVersion = cachedVersion;
         for (Host h : hosts) {
-            Held e = new Held();
+            Entry e = new Entry();
             e.host = h;
-            e.leftOut = leftOut.contains(h.id());
-            held.put(h.id(), e);
+            e.excluded = excludedIds.contains(h.id());
+            entries.put(h.id(), e);
         }
-        return new Told(true, ListKind.CACHED, tell(vouchedAt, held.values()));
+        return new Told(true, ListKind.CACHED, report(confirmedAtMs, entries.values()));
     }
 
     /**
-     * The agent turned the call for its whole list away: what changed since the list from before the start costs it less,
-     * and an agent that knows no such version answers with the whole list.
+     * Makes the cached list the base for changes, after the agent rejected a request for its full list under load. Changes
+     * since the cached version cost the agent less, and an agent that does not know the version answers with the full list.
      */
     public void goOnFromKnown(Object agent) {
-        if (teller == null && knownVersion != NONE) {
-            teller = agent;
-            version = knownVersion;
+        if (source == null && cachedVersion != NONE) {
+            source = agent;
+            version = cachedVersion;
         }
     }
 
-    /** A word of an agent; where it is not taken nothing changes, and the agent's whole list is due. */
-    public Told heard(double now, Object agent, long saidVersion, boolean whole, List<Host> hosts) {
-        boolean same = agent.equals(teller);
-        boolean older = same && saidVersion < version;
-        if (!whole && (!same || older || wholeDue)) {
+    /** Processes an update of an agent. A rejected update changes no host; after a rejected change the full list is due. */
+    public Told heard(double now, Object agent, long updateVersion, boolean full, List<Host> hosts) {
+        boolean sameSource = agent.equals(source);
+        boolean lowerVersion = sameSource && updateVersion < version;
+        if (!full && (!sameSource || lowerVersion || fullListDue)) {
             lost();
-            return Told.NOTHING;
+            return Told.REJECTED;
         }
-        if (older) {
-            olderSince = Double.isNaN(olderSince) ? now : olderSince;
-            if (now - olderSince < limits.renumberMs()) {
-                return Told.NOTHING;
+        if (lowerVersion) {
+            lowerVersionSinceMs = Double.isNaN(lowerVersionSinceMs) ? now : lowerVersionSinceMs;
+            if (now - lowerVersionSinceMs < limits.lowerVersionRejectMs()) {
+                return Told.REJECTED;
             }
         }
-        boolean doubtful = teller != null && (!same || older); // a change that is either was not taken
-        teller = agent;
-        version = saidVersion;
-        wholeDue = false; // a change is taken only where no whole list is due
-        vouchedAt = now;
-        olderSince = Double.NaN;
-        Map<String, Held> changed = new LinkedHashMap<>();
+        boolean mayBeOlder = source != null && (!sameSource || lowerVersion); // only full lists: such a change was rejected above
+        source = agent;
+        version = updateVersion;
+        fullListDue = false; // a change is accepted only if no full list is due
+        confirmedAtMs = now;
+        lowerVersionSinceMs = Double.NaN;
+        Map<String, Entry> changed = new LinkedHashMap<>();
         for (Host h : hosts) {
-            changed.put(h.id(), take(now, h, doubtful));
+            changed.put(h.id(), update(now, h, mayBeOlder));
         }
-        if (whole) {
-            leave(now, changed.keySet());
+        if (full) {
+            removeUnlisted(now, changed.keySet());
         }
-        for (Map.Entry<String, Held> e : held.entrySet()) {
-            if (e.getValue().aside) {
-                e.getValue().aside = false;
+        for (Map.Entry<String, Entry> e : entries.entrySet()) {
+            if (e.getValue().suspended) {
+                e.getValue().suspended = false;
                 changed.put(e.getKey(), e.getValue());
             }
         }
-        Told told = new Told(true, whole ? ListKind.FULL : ListKind.CHANGES, tell(now, changed.values()));
-        forgetOldest();
-        return told;
+        Told update = new Told(true, full ? ListKind.FULL : ListKind.CHANGES, report(now, changed.values()));
+        forgetExcessRemoved();
+        return update;
     }
 
-    /** Those that have been held longest, where more are remembered than may be. */
-    private void forgetOldest() {
-        int tooMany = -GONE_MAX;
-        for (Held e : held.values()) {
-            tooMany += e.host.state() == HostState.GONE ? 1 : 0;
+    /** Forgets the removed hosts that were listed first, if more are remembered than the limit allows. */
+    private void forgetExcessRemoved() {
+        int excess = -MAX_REMOVED_HOSTS;
+        for (Entry e : entries.values()) {
+            excess += e.host.state() == HostState.GONE ? 1 : 0;
         }
-        Iterator<Held> all = held.values().iterator();
-        while (tooMany > 0) {
+        Iterator<Entry> all = entries.values().iterator();
+        while (excess > 0) {
             if (all.next().host.state() == HostState.GONE) {
                 all.remove();
-                tooMany--;
+                excess--;
             }
         }
     }
 
-    private Held take(double now, Host h, boolean doubtful) {
-        Held e = held.computeIfAbsent(h.id(), id -> new Held());
-        e.leftOut = leftOut.contains(h.id());
-        boolean sameLife = e.host != null && e.host.startedMs() == h.startedMs();
-        boolean wasClosed = sameLife && (e.host.state() != HostState.RUNNING || now < e.shutTill);
-        if (!sameLife || h.state() == HostState.RUNNING && !doubtful) {
-            e.shutTill = Double.NEGATIVE_INFINITY;
-        } else if (doubtful && wasClosed && h.state() == HostState.RUNNING && !(now < e.shutTill)) {
-            e.shutTill = now + limits.stickMs();
+    private Entry update(double now, Host h, boolean mayBeOlder) {
+        Entry e = entries.computeIfAbsent(h.id(), id -> new Entry());
+        e.excluded = excludedIds.contains(h.id());
+        boolean sameIncarnation = e.host != null && e.host.startedMs() == h.startedMs();
+        boolean wasClosed = sameIncarnation && (e.host.state() != HostState.RUNNING || now < e.heldClosedUntilMs);
+        if (!sameIncarnation || h.state() == HostState.RUNNING && !mayBeOlder) {
+            e.heldClosedUntilMs = Double.NEGATIVE_INFINITY;
+        } else if (mayBeOlder && wasClosed && h.state() == HostState.RUNNING && !(now < e.heldClosedUntilMs)) {
+            e.heldClosedUntilMs = now + limits.closedHoldMs();
         }
         e.host = h;
-        e.closedAt = h.state() == HostState.RUNNING ? Double.NEGATIVE_INFINITY : now;
+        e.closedAtMs = h.state() == HostState.RUNNING ? Double.NEGATIVE_INFINITY : now;
         return e;
     }
 
-    /** Who is not in a whole list is gone, and remembered for a while lest an older list brings it back. */
-    private void leave(double now, Set<String> named) {
-        held.entrySet().removeIf(e -> {
-            Held h = e.getValue();
-            if (named.contains(e.getKey())) {
+    /** A host that a full list does not name is gone. It is remembered for a while so that an older list can't reopen it. */
+    private void removeUnlisted(double now, Set<String> listed) {
+        entries.entrySet().removeIf(e -> {
+            Entry entry = e.getValue();
+            if (listed.contains(e.getKey())) {
                 return false;
             }
-            if (h.host.state() != HostState.GONE) {
-                h.host = with(h.host, HostState.GONE);
-                h.told = HostState.GONE;
-                h.closedAt = now;
+            if (entry.host.state() != HostState.GONE) {
+                entry.host = withState(entry.host, HostState.GONE);
+                entry.reportedState = HostState.GONE;
+                entry.closedAtMs = now;
             }
-            return now - h.closedAt > limits.goneMs();
+            return now - entry.closedAtMs > limits.removedHostRetentionMs();
         });
     }
 
-    private List<Host> tell(double now, Iterable<Held> which) {
+    /** These hosts with the states that the gateway is to use, which count as passed on. */
+    private List<Host> report(double now, Iterable<Entry> which) {
         List<Host> hosts = new ArrayList<>();
-        for (Held e : which) {
-            e.told = e.state(now);
-            hosts.add(with(e.host, e.told));
+        for (Entry e : which) {
+            e.reportedState = e.state(now);
+            hosts.add(withState(e.host, e.reportedState));
         }
         return hosts;
     }
 
-    private static Host with(Host h, HostState state) {
+    private static Host withState(Host h, HostState state) {
         return h.state() == state ? h
                 : new Host(h.id(), h.zone(), h.kind(), h.cell(), state, h.rating(), h.startedMs());
     }
 
     /**
-     * Operators leave out these hosts and no others: each counts as draining, whatever its agent says and however
-     * often it starts anew, until a later call names it no more. Hosts that are not on the list may be named.
+     * Replaces the set of hosts that operators exclude. Each of them counts as draining, whatever its agent reports and
+     * however often it restarts, until a later call does not name it. Hosts that are not on the list may be named.
      *
-     * @return what that changes, to be told
+     * @return the hosts whose state this changes, to be passed on
      */
     public List<Host> leaveOut(double now, Set<String> ids) {
-        leftOut = Set.copyOf(ids);
-        held.forEach((id, e) -> e.leftOut = leftOut.contains(id));
-        return moved(now);
+        excludedIds = Set.copyOf(ids);
+        entries.forEach((id, e) -> e.excluded = excludedIds.contains(id));
+        return changedHosts(now);
     }
 
-    /** The hosts on the list, whatever their state. */
+    /** The ids of the hosts on the list, in any state but gone. */
     public Set<String> listed() {
         Set<String> ids = new HashSet<>();
-        held.forEach((id, e) -> {
+        entries.forEach((id, e) -> {
             if (e.host.state() != HostState.GONE) {
                 ids.add(id);
             }
@@ -263,64 +280,68 @@
         return ids;
     }
 
-    /** How many entries there are, those included that left the list. */
-    int held() {
-        return held.size();
+    /** The number of entries, including removed hosts that are still remembered. */
+    int entryCount() {
+        return entries.size();
     }
 
-    /** How many hosts would be on the list if these changes were taken. */
+    /** The number of hosts that would be on the list if these changes were accepted. */
     public int listedWith(List<Host> changes) {
         int listed = 0;
-        for (Held e : held.values()) {
+        for (Entry e : entries.values()) {
             listed += e.host.state() == HostState.GONE ? 0 : 1;
         }
         for (Host h : changes) {
-            Held e = held.get(h.id());
-            boolean before = e != null && e.host.state() != HostState.GONE;
-            boolean after = h.state() != HostState.GONE;
-            listed += (after ? 1 : 0) - (before ? 1 : 0);
+            Entry e = entries.get(h.id());
+            boolean listedBefore = e != null && e.host.state() != HostState.GONE;
+            boolean listedAfter = h.state() != HostState.GONE;
+            listed += (listedAfter ? 1 : 0) - (listedBefore ? 1 : 0);
         }
         return listed;
     }
 
-    /** A host gave an answer, so its process lives. */
+    /** Records that a host answered this gateway, so its process is alive. */
     public void served(double now, String id) {
-        Held e = held.get(id);
+        Entry e = entries.get(id);
         if (e != null) {
-            e.servedAt = now;
+            e.lastAnswerMs = now;
         }
     }
 
-    /** To be called once a second or so: what time has changed, as changes to be told; empty where nothing did. */
+    /**
+     * Applies the effects of time; to be called about once a second.
+     *
+     * @return the hosts whose state changed, to be passed on; empty if there are none
+     */
     public List<Host> review(double now) {
         if (ageMs(now) > limits.vouchMs()) {
-            putAside(now);
+            suspendUnresponsive(now);
         }
-        held.values().removeIf(e -> e.host.state() == HostState.GONE && now - e.closedAt > limits.goneMs());
-        return moved(now);
+        entries.values().removeIf(e -> e.host.state() == HostState.GONE && now - e.closedAtMs > limits.removedHostRetentionMs());
+        return changedHosts(now);
     }
 
-    private List<Host> moved(double now) {
-        List<Held> moved = new ArrayList<>();
-        for (Held e : held.values()) {
-            if (e.told != e.state(now)) {
-                moved.add(e);
+    private List<Host> changedHosts(double now) {
+        List<Entry> changed = new ArrayList<>();
+        for (Entry e : entries.values()) {
+            if (e.reportedState != e.state(now)) {
+                changed.add(e);
             }
         }
-        return tell(now, moved);
+        return report(now, changed);
     }
 
-    private void putAside(double now) {
-        List<Held> running = new ArrayList<>();
-        for (Held e : held.values()) {
-            if (e.host.state() == HostState.RUNNING && !(now < e.shutTill)) {
+    private void suspendUnresponsive(double now) {
+        List<Entry> running = new ArrayList<>();
+        for (Entry e : entries.values()) {
+            if (e.host.state() == HostState.RUNNING && !(now < e.heldClosedUntilMs)) {
                 running.add(e);
             }
         }
-        running.sort(Comparator.comparingDouble((Held e) -> -e.servedAt).thenComparing(e -> e.host.id()));
-        int kept = Math.max(1, (int) Math.ceil(running.size() * limits.keptShare()));
+        running.sort(Comparator.comparingDouble((Entry e) -> -e.lastAnswerMs).thenComparing(e -> e.host.id()));
+        int retained = Math.max(1, (int) Math.ceil(running.size() * limits.retainedHostShare()));
         for (int i = 0; i < running.size(); i++) {
-            running.get(i).aside = i >= kept && now - running.get(i).servedAt > limits.vouchMs();
+            running.get(i).suspended = i >= retained && now - running.get(i).lastAnswerMs > limits.vouchMs();
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/list/HostListLimit.java
+++ b/gateway/src/main/java/marlford/gateway/list/HostListLimit.java
@@ -1,27 +1,28 @@
 package marlford.gateway.list;
 
 /**
- * How many hosts a process can hold, so that no list makes it run out of memory.
+ * The longest host list that a process accepts, so that a list can't exhaust its heap.
  *
- * @param hosts on one list at most; above 0
+ * @param hosts upper limit of hosts on one list; above 0
  */
 public record HostListLimit(int hosts) {
-    /** Of the heap, for hosts; the rest is for requests, connections and the program itself. */
-    private static final double HEAP_SHARE = 0.75;
+    /** Share of the heap that hosts may take; the rest is for requests, connections and the program itself. */
+    private static final double HOSTS_HEAP_SHARE = 0.75;
     /**
-     * That one host takes while a list that names it replaces another, in bytes: what the list, the pools, the decision module
-     * and the console hold of it, and what the list of before holds until then. LongListTest shows that it is enough.
+     * Heap that one host takes, in bytes, while a list that names it replaces another one: its entries in the list, the
+     * connection pools, the decision engine and the console, plus the entries of the replaced list, which are still
+     * referenced meanwhile. LongListTest shows that the figure suffices.
      */
-    private static final double HEAP_PER_HOST = 1150;
+    private static final double HEAP_BYTES_PER_HOST = 1150;
 
     public HostListLimit {
         if (hosts <= 0) {
-            throw new IllegalArgumentException("limit of a list out of range");
+            throw new IllegalArgumentException("the limit of hosts on a list must be above 0");
         }
     }
 
-    /** That of a process with this heap. */
+    /** The limit for a process with a heap of {@code bytes}. */
     public static HostListLimit ofHeap(long bytes) {
-        return new HostListLimit((int) Math.max(1, Math.min(Integer.MAX_VALUE, bytes * HEAP_SHARE / HEAP_PER_HOST)));
+        return new HostListLimit((int) Math.max(1, Math.min(Integer.MAX_VALUE, bytes * HOSTS_HEAP_SHARE / HEAP_BYTES_PER_HOST)));
     }
 }
--- a/gateway/src/main/java/marlford/gateway/list/PollingBackoff.java
+++ b/gateway/src/main/java/marlford/gateway/list/PollingBackoff.java
@@ -3,167 +3,179 @@
 import java.util.Random;
 
 /**
- * How often one gateway calls discovery, which serves the whole tier with a fixed capacity and turns calls away when its
- * line is long. Alone, a call at once after each answer and short patience are best; where all do it, each change makes
- * every gateway call again, the line grows, calls given up too early are still worked on, and nobody hears anything.
+ * Decides when one gateway calls discovery, a service of fixed capacity for the whole tier that rejects calls while its
+ * queue is long. For a gateway that calls alone it is best to call again immediately after each answer and to time out
+ * early. If all gateways do so, each change makes all of them call again, the queue grows, discovery still works on calls
+ * that have timed out, and no gateway gets an answer.
  *
- * <p>So the pace is of two kinds. While nobody is turned away, calls follow each other at once and a broken one is
- * made again soon. From the first refusal on each gateway slows down: the pace doubles with a refusal, up to
- * {@value #MOST_MS} ms, and shortens by three tenths with an answer, as congestion control does it; each wait is drawn
- * about the pace, or a tier that was turned away together would come back together.
+ * <p>Therefore there are two modes. While no call is rejected, calls follow each other immediately and a failed one is
+ * repeated soon. From the first rejection on the gateway throttles itself: the mean wait doubles with each rejection, up to
+ * {@value #MAX_MEAN_WAIT_MS} ms, and shrinks by three tenths with each answer, as in congestion control. Each wait is
+ * drawn at random around the mean, since gateways that were rejected together would otherwise return together.
  *
- * <p><b>The deadline.</b> A change counts as known {@value #TOLD_MS} ms after discovery had it and could be reached,
- * whatever happened to the calls before. The last moment at which this gateway can have missed nothing is the start of
- * its last call, or an answer to it. So a call that follows begins at most {@value #DUE_MS} ms after that moment, which
- * leaves the rest for the call itself: no wait, no pause for a turn and no silent watch lasts longer.
+ * <p><b>The deadline.</b> A gateway has to know a change {@value #CHANGE_KNOWN_MS} ms after discovery had it and was
+ * reachable, whatever happened to earlier calls. The latest moment up to which this gateway can't have missed a change is
+ * the start of its last call, or an answer to it. The next call therefore begins at most {@value #MAX_CALL_GAP_MS} ms after
+ * that moment, which leaves the rest for the call itself: no backoff, no wait for a shared fetch and no unanswered long poll
+ * lasts longer.
  *
- * <p>Pure: every method brings its time, in milliseconds; the source of chance is the caller's. Not thread-safe; it
- * belongs to one event loop.
+ * <p>A long poll is a call that discovery may hold until there is a change.
+ *
+ * <p>Pure: the caller passes the time, in milliseconds, to every method, and provides the random source. Not thread-safe:
+ * used on one event loop only.
  */
 public final class PollingBackoff {
-    static final long TOLD_MS = 6000; // the platform's own limit
-    static final long CONNECT_MAX_MS = 1000; // for a connection to an agent
-    static final long ANSWER_MS = 500; // for a list once the connection stands
-    static final long DUE_MS = TOLD_MS - CONNECT_MAX_MS - ANSWER_MS; // from the last call's start to the next one
-    private static final long AGAIN_MS = 50; // after a first broken call; a watch is over only after 200
-    /** How long after its call a watch is given up where nothing went before it, in milliseconds. */
-    public static final long WATCH_MS = DUE_MS - AGAIN_MS;
-    static final long LATEST_MS = 25; // the least wait of all, where a call itself took up the time
-    static final double MOST_MS = 3000; // a wait is drawn up to half as long again
-    private static final double FIRST_MS = 500; // pace after a first refusal
-    private static final double LEAST_MS = 200; // below this a watch goes on without a break: no pace is needed
-    private static final double FASTER = 0.7;
-    private static final double SLOWER = 2;
-    private static final long WATCH_PATIENCE_MS = 450; // beyond what a watch may be held
-    private static final long WATCH_PATIENCE_CROWDED_MS = 1450;
-    private static final long PATIENCE_MS = 1000; // for an answer that need not wait for news
-    private static final long PATIENCE_CROWDED_MS = 3000; // discovery's line lasts two seconds
-    private static final long PATIENCE_LEAST_MS = 200; // an agent on the own machine answers at once, a late loop apart
-    private static final long AGAIN_MAX_MS = 800; // each further one doubles the wait, up to this
-    private static final double AGAIN_SHARE = 0.2; // of a drain's grace: the same where that is short
-    private static final double ANSWER_SHARE = 0.5; // of a drain's grace: how long an agent that is called may be silent
+    static final long CHANGE_KNOWN_MS = 6000; // required by the platform
+    static final long MAX_CONNECT_MS = 1000; // timeout of a connection to an agent
+    static final long LIST_ANSWER_MS = 500; // allowance for the answer with a list on an open connection
+    static final long MAX_CALL_GAP_MS = CHANGE_KNOWN_MS - MAX_CONNECT_MS - LIST_ANSWER_MS; // from one call's start to the next
+    private static final long FIRST_RETRY_MS = 50; // wait after the first of several failed calls; a long poll lasts at least 200
+    /** Timeout of a long poll that has no earlier call to count from, in milliseconds after its start. */
+    public static final long WATCH_MS = MAX_CALL_GAP_MS - FIRST_RETRY_MS;
+    static final long MIN_WAIT_MS = 25; // shortest wait before a call that is already due
+    static final double MAX_MEAN_WAIT_MS = 3000; // a drawn wait may be half as long again
+    private static final double FIRST_REJECTION_MEAN_WAIT_MS = 500;
+    private static final double MIN_MEAN_WAIT_MS = 200; // below it calls follow each other without a wait
+    private static final double ANSWER_WAIT_FACTOR = 0.7;
+    private static final double REJECTION_WAIT_FACTOR = 2;
+    private static final long LONG_POLL_MARGIN_MS = 450; // from the end of discovery's hold to the timeout
+    private static final long THROTTLED_LONG_POLL_MARGIN_MS = 1450;
+    private static final long ANSWER_TIMEOUT_MS = 1000; // for an answer that does not wait for a change
+    private static final long THROTTLED_ANSWER_TIMEOUT_MS = 3000; // a call may spend two seconds in discovery's queue
+    private static final long MIN_ANSWER_TIMEOUT_MS = 200; // a local agent answers at once, but this event loop may be late
+    private static final long MAX_RETRY_MS = 800; // each further failure doubles the wait, up to this
+    private static final double RETRY_GRACE_SHARE = 0.2; // upper limit of the retry wait, as a share of a short drain grace
+    private static final double TIMEOUT_GRACE_SHARE = 0.5; // upper limit of the answer timeout, as a share of the drain grace
 
     private final Random random;
-    private final long againMaxMs;
-    private final long answerMs;
-    private double paceMs;
-    private int broken;
-    private int unusable; // answers in a row of which nothing could be taken
-    private double upToDateAt; // nothing that discovery had by then was missed
+    private final long maxRetryMs;
+    private final long answerTimeoutMs;
+    private double meanWaitMs;
+    private int failures; // in a row
+    private int unusableAnswers; // in a row
+    private double upToDateAtMs; // no change that discovery had by this time was missed
 
     /**
-     * @param graceMs of a drain, by the settings: how long after its word a host may still be sent to; 0 or more
-     * @param pushed whether the agent is told by itself, and answers at once and at no cost; else it is one service for
-     *     the whole tier, which short waits of all would only make later
+     * @param graceMs the drain grace of the settings, in milliseconds: how long after the report of its drain a host may
+     *     still be sent requests; 0 or more
+     * @param pushed whether the agent receives changes by itself, and so answers at once and at no cost; otherwise it is one
+     *     service for the whole tier, which shorter waits of all gateways would only slow down
      */
     public PollingBackoff(Random random, double graceMs, boolean pushed) {
         this.random = random;
-        this.againMaxMs = pushed ? (long) Math.min(AGAIN_MAX_MS, Math.max(AGAIN_MS, AGAIN_SHARE * graceMs)) : AGAIN_MAX_MS;
-        this.answerMs = pushed ? (long) Math.min(PATIENCE_MS, Math.max(PATIENCE_LEAST_MS, ANSWER_SHARE * graceMs)) : PATIENCE_MS;
+        this.maxRetryMs = pushed ? (long) Math.min(MAX_RETRY_MS, Math.max(FIRST_RETRY_MS, RETRY_GRACE_SHARE * graceMs)) : MAX_RETRY_MS;
+        this.answerTimeoutMs = pushed
+                ? (long) Math.min(ANSWER_TIMEOUT_MS, Math.max(MIN_ANSWER_TIMEOUT_MS, TIMEOUT_GRACE_SHARE * graceMs))
+                : ANSWER_TIMEOUT_MS;
     }
 
-    /** A connection to an agent is asked for, and on it a call. */
+    /** Records that a connection to an agent is being opened for a call. */
     public void called(double now) {
-        upToDateAt = now;
+        upToDateAtMs = now;
     }
 
-    /** A call was answered with a word that counts; how long to wait before the next one, in milliseconds. */
+    /** Records that a call was answered with an accepted update; returns the wait before the next call, in milliseconds. */
     public long answered(double now) {
-        broken = 0;
-        unusable = 0;
-        upToDateAt = now;
-        paceMs = paceMs * FASTER < LEAST_MS ? 0 : paceMs * FASTER;
-        return drawn(paceMs);
+        failures = 0;
+        unusableAnswers = 0;
+        upToDateAtMs = now;
+        meanWaitMs = meanWaitMs * ANSWER_WAIT_FACTOR < MIN_MEAN_WAIT_MS ? 0 : meanWaitMs * ANSWER_WAIT_FACTOR;
+        return randomized(meanWaitMs);
     }
 
-    /** A call was turned away; how long to wait before the next one, in milliseconds. */
+    /** Records that a call was rejected under load; returns the wait before the next call, in milliseconds. */
     public long turnedAway(double now) {
-        upToDateAt = now; // whoever is turned away could not reach discovery until then
-        paceMs = Math.min(MOST_MS, Math.max(FIRST_MS, paceMs * SLOWER));
-        return drawn(paceMs);
+        upToDateAtMs = now; // up to a rejection, discovery counts as not reachable
+        meanWaitMs = Math.min(MAX_MEAN_WAIT_MS, Math.max(FIRST_REJECTION_MEAN_WAIT_MS, meanWaitMs * REJECTION_WAIT_FACTOR));
+        return randomized(meanWaitMs);
     }
 
-    /** A call broke or nobody answered; how long to wait before the next one, in milliseconds. */
+    /** Records that a call failed or was not answered; returns the wait before the next call, in milliseconds. */
     public long broke(double now) {
-        long wait = Math.min(againMaxMs, AGAIN_MS << Math.min(broken++, Long.SIZE / 4));
-        return due(now, Math.max(upperHalf(wait), drawn(paceMs)));
+        long wait = Math.min(maxRetryMs, FIRST_RETRY_MS << Math.min(failures++, Long.SIZE / 4));
+        return beforeDeadline(now, Math.max(upperHalf(wait), randomized(meanWaitMs)));
     }
 
     /**
-     * An answer came that can't be used at all. To read it again is work for nothing, so further calls come ever later;
-     * how long to wait before the next one, in milliseconds.
+     * Records an answer that could not be used at all. Reading the same answer again is useless, so the waits grow up to the
+     * deadline; returns the wait before the next call, in milliseconds.
      */
     public long unusable(double now) {
-        long wait = Math.min(DUE_MS, AGAIN_MS << Math.min(unusable++, Long.SIZE / 4));
-        return due(now, Math.max(upperHalf(wait), drawn(paceMs)));
+        long wait = Math.min(MAX_CALL_GAP_MS, FIRST_RETRY_MS << Math.min(unusableAnswers++, Long.SIZE / 4));
+        return beforeDeadline(now, Math.max(upperHalf(wait), randomized(meanWaitMs)));
     }
 
-    /** The list is longer than this process can hold, and hardly shorter soon; how long to wait, in milliseconds. */
+    /**
+     * Records a list that is longer than this process can hold. It is unlikely to be shorter soon; returns the wait before
+     * the next call, in milliseconds.
+     */
     public long tooLong(double now) {
-        return due(now, upperHalf(DUE_MS));
+        return beforeDeadline(now, upperHalf(MAX_CALL_GAP_MS));
     }
 
     /**
-     * A watch got no answer within its time; how long to wait before the next call, in milliseconds. It was not turned
-     * away, and what it missed counts as told soon, so the pace of a crowd does not hold it back.
+     * Records that a long poll got no answer within its timeout; returns the wait before the next call, in milliseconds. The
+     * call was not rejected, and a change that it missed has to be known soon, so throttling does not extend the wait.
      */
     public long fellSilent() {
-        broken++;
-        return upperHalf(AGAIN_MS);
+        failures++;
+        return upperHalf(FIRST_RETRY_MS);
     }
 
-    /** How long others may have their turn before this gateway calls by itself, in milliseconds. */
+    /** How long to wait for a list fetched by another gateway before this one calls by itself, in milliseconds. */
     public long turnMs(double now) {
-        return due(now, DUE_MS);
+        return beforeDeadline(now, MAX_CALL_GAP_MS);
     }
 
-    /** How long a connection to an agent may take to come up, in milliseconds. */
+    /** Timeout of a connection to an agent, in milliseconds. */
     public long connectMs() {
-        return Math.min(CONNECT_MAX_MS, answerMs);
+        return Math.min(MAX_CONNECT_MS, answerTimeoutMs);
     }
 
-    /** Another address is called from here on. */
+    /** Resets the state, since another address is called from now on. */
     public void moved() {
-        broken = 0;
-        unusable = 0;
-        paceMs = 0;
+        failures = 0;
+        unusableAnswers = 0;
+        meanWaitMs = 0;
     }
 
-    /** Whether calls have been turned away lately. */
-    public boolean crowded() {
-        return paceMs > 0;
+    /** Whether this gateway throttles its calls, since some were rejected recently. */
+    public boolean isThrottled() {
+        return meanWaitMs > 0;
     }
 
-    /** How long after its call a watch that is opened now is given up, in milliseconds. */
+    /** Timeout of a long poll that starts now, in milliseconds. */
     public long watchMs(double now) {
-        return Math.max(PATIENCE_LEAST_MS, due(now, DUE_MS) - AGAIN_MS);
+        return Math.max(MIN_ANSWER_TIMEOUT_MS, beforeDeadline(now, MAX_CALL_GAP_MS) - FIRST_RETRY_MS);
     }
 
-    /** How long discovery may hold a watch that is given up after {@code watchMs}, in milliseconds. */
-    public long holdMs(long watchMs) {
-        return Math.max(0, watchMs - (crowded() ? WATCH_PATIENCE_CROWDED_MS : WATCH_PATIENCE_MS));
+    /** How long discovery may hold a long poll with this timeout, in milliseconds. */
+    public long holdMs(long timeoutMs) {
+        return Math.max(0, timeoutMs - (isThrottled() ? THROTTLED_LONG_POLL_MARGIN_MS : LONG_POLL_MARGIN_MS));
     }
 
-    /** How long the answer to a call for the whole list may be silent, in milliseconds. */
+    /** Timeout of a call for the full list, in milliseconds; counts from the start and from each part of the answer. */
     public long patienceMs() {
-        return crowded() ? PATIENCE_CROWDED_MS : answerMs;
+        return isThrottled() ? THROTTLED_ANSWER_TIMEOUT_MS : answerTimeoutMs;
     }
 
-    /** By when the next call has to begin, even where an answer to the last one is still coming in. */
+    /** When the next call has to begin, even if the answer to the last one is still being received. */
     public double nextCallBy() {
-        return upToDateAt + DUE_MS;
+        return upToDateAtMs + MAX_CALL_GAP_MS;
     }
 
-    /** So much of a wait as leaves the time for a call ahead of the deadline. */
-    private long due(double now, long wait) {
-        return Math.max(LATEST_MS, (long) Math.min(wait, nextCallBy() - now));
+    /** The wait, shortened where the next call would otherwise begin after the deadline; at least the shortest wait. */
+    private long beforeDeadline(double now, long waitMs) {
+        return Math.max(MIN_WAIT_MS, (long) Math.min(waitMs, nextCallBy() - now));
     }
 
-    private long upperHalf(long wait) {
-        return wait / 2 + random.nextInt((int) wait / 2 + 1);
+    /** A random value between half the wait and the whole of it. */
+    private long upperHalf(long waitMs) {
+        return waitMs / 2 + random.nextInt((int) waitMs / 2 + 1);
     }
 
-    private long drawn(double ms) {
-        return (long) (ms * (0.5 + random.nextDouble()));
+    /** A random value between half and one and a half times the mean. */
+    private long randomized(double meanMs) {
+        return (long) (meanMs * (0.5 + random.nextDouble()));
     }
 }
--- a/gateway/src/test/java/marlford/gateway/gossip/GossipSchedulerTest.java
+++ b/gateway/src/test/java/marlford/gateway/gossip/GossipSchedulerTest.java
@@ -12,85 +12,85 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** When one speaks to all, of whom, and in what bytes. */
+/** When a gateway sends usage messages, which customers they report, and how they are encoded. */
 class GossipSchedulerTest {
-    private static final double GAP_MS = 400;
+    private static final double MEAN_INTERVAL_MS = 400;
     private static final Random SEEDS = new Random(5);
 
     @Test
-    void whatChangedGoesFirstAndIsRepeatedThreeTimes() {
-        GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 100, new Random(1));
-        rounds.changed(1);
-        rounds.changed(2);
-        assertEquals(List.of(1L, 2L), rounds.next(0, 3));
-        rounds.changed(3);
-        assertEquals(List.of(3L, 1L, 2L), rounds.next(0, 3));
-        assertEquals(List.of(1L, 2L, 3L), rounds.next(0, 5));
-        assertEquals(List.of(1L, 2L, 3L), rounds.next(0, 5));
-        assertEquals(List.of(3L), rounds.next(0, 5));
-        assertTrue(rounds.next(0, 5).isEmpty());
-        assertFalse(rounds.due(GAP_MS * 1.5, false), "with nothing to tell");
-        assertTrue(rounds.due(GAP_MS * 1.5, true), "with something else to tell");
-        assertTrue(rounds.due(GAP_MS * 1.5 + 1000, false), "to be known for one that lives");
+    void changedCustomersComeFirstAndAreRepeatedThreeTimes() {
+        GossipScheduler scheduler = new GossipScheduler(0, MEAN_INTERVAL_MS, 100, new Random(1));
+        scheduler.changed(1);
+        scheduler.changed(2);
+        assertEquals(List.of(1L, 2L), scheduler.next(0, 3));
+        scheduler.changed(3);
+        assertEquals(List.of(3L, 1L, 2L), scheduler.next(0, 3));
+        assertEquals(List.of(1L, 2L, 3L), scheduler.next(0, 5));
+        assertEquals(List.of(1L, 2L, 3L), scheduler.next(0, 5));
+        assertEquals(List.of(3L), scheduler.next(0, 5));
+        assertTrue(scheduler.next(0, 5).isEmpty());
+        assertFalse(scheduler.due(MEAN_INTERVAL_MS * 1.5, false), "no message is due with nothing to report");
+        assertTrue(scheduler.due(MEAN_INTERVAL_MS * 1.5, true), "a message is due with other content");
+        assertTrue(scheduler.due(MEAN_INTERVAL_MS * 1.5 + 1000, false), "a message is due so that peers know that the sender is alive");
     }
 
     @Test
-    void nobodyIsPassedOverForEverInACrowd() {
-        GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 1000, new Random(1));
+    void everyCustomerIsReportedEventually() {
+        GossipScheduler scheduler = new GossipScheduler(0, MEAN_INTERVAL_MS, 1000, new Random(1));
         for (long id = 0; id < 100; id++) {
-            rounds.changed(id);
+            scheduler.changed(id);
         }
-        List<Long> told = new ArrayList<>();
+        List<Long> reported = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            rounds.changed(1);
-            told.addAll(rounds.next(0, 10));
+            scheduler.changed(1);
+            reported.addAll(scheduler.next(0, 10));
         }
-        assertTrue(told.contains(99L) || rounds.next(0, 10).contains(99L));
+        assertTrue(reported.contains(99L) || scheduler.next(0, 10).contains(99L));
     }
 
     @Test
-    void tooManyThatWaitLeaveOutTheFirst() {
-        GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 3, new Random(1));
+    void longestWaitingCustomerIsDroppedAboveTheLimit() {
+        GossipScheduler scheduler = new GossipScheduler(0, MEAN_INTERVAL_MS, 3, new Random(1));
         for (long id = 1; id <= 5; id++) {
-            rounds.changed(id);
+            scheduler.changed(id);
         }
-        assertEquals(List.of(3L, 4L, 5L), rounds.next(0, 10));
+        assertEquals(List.of(3L, 4L, 5L), scheduler.next(0, 10));
     }
 
-    /** All gateways of a tier that began in one moment would else pass every receiver's limit in one moment. */
+    /** Without jitter, gateways that started together would exceed every receiver's limit at the same moments. */
     @Test
-    void aTierThatStartedTogetherDoesNotSpeakTogether() {
-        List<Double> left = new ArrayList<>();
+    void gatewaysThatStartedTogetherDoNotSendTogether() {
+        List<Double> sendTimes = new ArrayList<>();
         for (int gateway = 0; gateway < 14; gateway++) {
-            GossipScheduler rounds = new GossipScheduler(0, GAP_MS, 10, new Random(SEEDS.nextLong()));
+            GossipScheduler scheduler = new GossipScheduler(0, MEAN_INTERVAL_MS, 10, new Random(SEEDS.nextLong()));
             for (double now = 0; now < 20_000; now += 20) {
-                rounds.changed(1);
-                if (rounds.due(now, false)) {
-                    rounds.next(now, 1);
-                    left.add(now);
+                scheduler.changed(1);
+                if (scheduler.due(now, false)) {
+                    scheduler.next(now, 1);
+                    sendTimes.add(now);
                 }
             }
         }
-        int most = 0;
+        int maxTogether = 0;
         for (double from = 0; from < 20_000; from += 20) {
-            most = Math.max(most, Collections.frequency(left, from));
+            maxTogether = Math.max(maxTogether, Collections.frequency(sendTimes, from));
         }
-        assertTrue(most <= 6, "in one beat: " + most);
-        assertEquals(14 * 20_000 / (GAP_MS + 10), left.size(), 40);
+        assertTrue(maxTogether <= 6, "messages in one tick: " + maxTogether);
+        assertEquals(14 * 20_000 / (MEAN_INTERVAL_MS + 10), sendTimes.size(), 40);
     }
 
     @Test
-    void aMessageSaysWhatItSaid() {
+    void decodedMessageEqualsTheEncodedOne() {
         List<UsageMessage.Entry> entries = new ArrayList<>();
         for (int i = 0; i < UsageMessage.room(0); i++) {
             entries.add(new UsageMessage.Entry(0x1_ffff_ffffL - i, i, UsageMessage.usedField(i * 1.5), i, i / 30.0));
         }
         byte[] data = new UsageMessage(-5, 0xffff, entries, List.of(), List.of()).bytes();
-        UsageMessage.Want want = new UsageMessage.Want(0x1_0000_0007L, 3, 13, 10, 400, 63.75);
-        UsageMessage.Gift gift = new UsageMessage.Gift(0x1_0000_0007L, 13, 0xffff, 0xfffe, 0.25);
-        UsageMessage loans = UsageMessage.read(new UsageMessage(1, 2, List.of(), List.of(want), List.of(gift)).bytes());
-        assertEquals(List.of(want), loans.wants());
-        assertEquals(List.of(gift), loans.gifts());
+        UsageMessage.Want request = new UsageMessage.Want(0x1_0000_0007L, 3, 13, 10, 400, 63.75);
+        UsageMessage.Gift grant = new UsageMessage.Gift(0x1_0000_0007L, 13, 0xffff, 0xfffe, 0.25);
+        UsageMessage transfers = UsageMessage.read(new UsageMessage(1, 2, List.of(), List.of(request), List.of(grant)).bytes());
+        assertEquals(List.of(request), transfers.wants());
+        assertEquals(List.of(grant), transfers.gifts());
         assertTrue(data.length <= 256);
         UsageMessage read = UsageMessage.read(data);
         assertEquals(-5, read.life());
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void damageIsSeenAndNothingElseIsThrown() {
+    void damagedBytesAreRejectedWithoutAnException() {
         byte[] good = new UsageMessage(5, 1, List.of(new UsageMessage.Entry(1, 1, 1, 1, 1)),
                 List.of(new UsageMessage.Want(1, 1, 2, 3, 4, 5)), List.of(new UsageMessage.Gift(1, 2, 3, 4, 5))).bytes();
         Random random = new Random(3);
@@ -121,7 +121,7 @@
             if (length > 0) {
                 noise[0] = 4;
             }
-            UsageMessage.read(noise); // throws nothing, whatever it is
+            UsageMessage.read(noise); // must not throw
         }
         UsageMessage.Entry one = new UsageMessage.Entry(1, 1, 1, 1, 1);
         UsageMessage many = new UsageMessage(1, 1, Collections.nCopies(UsageMessage.room(0) + 1, one), List.of(), List.of());
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void totalsRunOverTheEndOfTheirField() {
+    void runningTotalsWrapAround() {
         assertEquals(2, UsageMessage.ahead(UsageMessage.usedField(4097), UsageMessage.usedField(4095)));
         assertTrue(UsageMessage.ahead(UsageMessage.usedField(1), UsageMessage.usedField(5)) < 0);
     }
--- a/gateway/src/test/java/marlford/gateway/lease/TwoPartyLeasesTest.java
+++ b/gateway/src/test/java/marlford/gateway/lease/TwoPartyLeasesTest.java
@@ -13,166 +13,166 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Two gateways and a link that loses, delays and reorders: never may both spend what only one of them may. */
+/** Two gateways on a link that loses, delays and reorders messages never both hold what only one of them may spend. */
 class TwoPartyLeasesTest {
     private static final Terms TERMS = new Terms(1000, 1200);
     private static final int HOLDER = 0;
-    private static final int HEIR = 1;
+    private static final int SUCCESSOR = 1;
 
     @Test
-    void theHolderHasItOnlyFromAnAnswerOnAndForItsTermFromTheQuestion() {
+    void holderHoldsFromAnAcknowledgementForATermFromTheAcknowledgedMessage() {
         TwoPartyLeases holder = new TwoPartyLeases(TERMS, 2, 0);
-        assertEquals(TwoPartyLeases.NOT, holder.heldSince(0, HEIR));
-        holder.told(100, HEIR, 7);
-        holder.told(300, HEIR, 8);
-        holder.answered(400, HEIR, 6); // what it heard before says nothing of now
-        assertEquals(TwoPartyLeases.NOT, holder.heldSince(400, HEIR));
-        holder.answered(500, HEIR, 8);
-        assertEquals(500, holder.heldSince(1099, HEIR)); // 7 left at 100; that 8 was heard proves no more than that
-        assertEquals(TwoPartyLeases.NOT, holder.heldSince(1100, HEIR));
+        assertEquals(TwoPartyLeases.NOT, holder.heldSince(0, SUCCESSOR));
+        holder.told(100, SUCCESSOR, 7);
+        holder.told(300, SUCCESSOR, 8);
+        holder.answered(400, SUCCESSOR, 6); // the acknowledgement of an earlier message proves nothing
+        assertEquals(TwoPartyLeases.NOT, holder.heldSince(400, SUCCESSOR));
+        holder.answered(500, SUCCESSOR, 8);
+        assertEquals(500, holder.heldSince(1099, SUCCESSOR)); // 7 was sent at 100; the acknowledgement of 8 proves no more than that
+        assertEquals(TwoPartyLeases.NOT, holder.heldSince(1100, SUCCESSOR));
     }
 
     @Test
-    void aTermThatIsRenewedInTimeHasNoBreakAndOneThatRanOutBeginsAnew() {
+    void termRenewedInTimeContinuesAndAnExpiredOneStartsAgain() {
         TwoPartyLeases holder = new TwoPartyLeases(TERMS, 2, 0);
-        holder.told(0, HEIR, 0xffff);
-        holder.answered(10, HEIR, 0xffff);
-        holder.told(900, HEIR, 0); // the count runs over
-        holder.answered(950, HEIR, 0);
-        assertEquals(10, holder.heldSince(1500, HEIR));
-        holder.told(2000, HEIR, 1);
-        holder.answered(2010, HEIR, 1);
-        assertEquals(2010, holder.heldSince(2010, HEIR));
+        holder.told(0, SUCCESSOR, 0xffff);
+        holder.answered(10, SUCCESSOR, 0xffff);
+        holder.told(900, SUCCESSOR, 0); // the serial number wraps around
+        holder.answered(950, SUCCESSOR, 0);
+        assertEquals(10, holder.heldSince(1500, SUCCESSOR));
+        holder.told(2000, SUCCESSOR, 1);
+        holder.answered(2010, SUCCESSOR, 1);
+        assertEquals(2010, holder.heldSince(2010, SUCCESSOR));
     }
 
     @Test
-    void theHeirTakesItOnABeatAfterSilenceAndGivesItBackAtTheFirstWord() {
-        TwoPartyLeases heir = new TwoPartyLeases(TERMS, 2, 0);
-        heir.heard(50, HOLDER);
-        heir.beat(1250);
-        assertEquals(TwoPartyLeases.NOT, heir.takenSince(HOLDER));
-        heir.beat(1251);
-        assertEquals(1251, heir.takenSince(HOLDER));
-        heir.beat(1300);
-        assertEquals(1251, heir.takenSince(HOLDER));
-        heir.heard(1310, HOLDER);
-        assertEquals(TwoPartyLeases.NOT, heir.takenSince(HOLDER));
+    void successorTakesOverOnATickAfterSilenceAndReturnsAtTheFirstMessage() {
+        TwoPartyLeases successor = new TwoPartyLeases(TERMS, 2, 0);
+        successor.heard(50, HOLDER);
+        successor.beat(1250);
+        assertEquals(TwoPartyLeases.NOT, successor.takenSince(HOLDER));
+        successor.beat(1251);
+        assertEquals(1251, successor.takenSince(HOLDER));
+        successor.beat(1300);
+        assertEquals(1251, successor.takenSince(HOLDER));
+        successor.heard(1310, HOLDER);
+        assertEquals(TwoPartyLeases.NOT, successor.takenSince(HOLDER));
     }
 
     @Test
-    void aStallOfItsOwnIsNoSilence() {
-        TwoPartyLeases heir = new TwoPartyLeases(TERMS, 2, 0);
-        heir.stalled(5000);
-        heir.beat(5000);
-        assertEquals(TwoPartyLeases.NOT, heir.takenSince(HOLDER));
-        heir.beat(6201);
-        assertEquals(6201, heir.takenSince(HOLDER));
+    void ownStallDoesNotCountAsSilenceOfTheHolder() {
+        TwoPartyLeases successor = new TwoPartyLeases(TERMS, 2, 0);
+        successor.stalled(5000);
+        successor.beat(5000);
+        assertEquals(TwoPartyLeases.NOT, successor.takenSince(HOLDER));
+        successor.beat(6201);
+        assertEquals(6201, successor.takenSince(HOLDER));
     }
 
     @Test
-    void termsOutOfRangeAreRefused() {
+    void termsOutOfRangeAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Terms(0, 1));
         assertThrows(IllegalArgumentException.class, () -> new Terms(5, 5));
         assertThrows(IllegalArgumentException.class, () -> new Terms(5, Double.NaN));
     }
 
-    // ---- any course of losses, delays, silences, stalls and restarts of both; jqwik prints the seed of a failure
+    // ---- random losses, delays, outages, stalls and restarts of both; jqwik prints the seed of a failure
 
-    /** One gateway as the decision module keeps it: a beat every 20 ms, and what comes in a stall is read after it. */
+    /** One gateway with a tick every 20 ms, like the decision engine; what arrives during a stall is read after it. */
     private static final class Side {
-        private static final double BEAT_MS = 20;
+        private static final double TICK_MS = 20;
         private final int peer;
         private TwoPartyLeases leases;
-        private int life;
-        private int count;
-        private int heardLife = -1;
-        private int heardCount;
-        private double nextBeat;
+        private int incarnation;
+        private int serial;
+        private int peerIncarnation = -1;
+        private int lastReceivedSerial;
+        private double nextTick;
 
         Side(int peer) {
             this.peer = peer;
-            begin(0);
+            start(0);
         }
 
-        void begin(double now) {
+        void start(double now) {
             leases = new TwoPartyLeases(TERMS, 2, now);
-            life++;
-            count = 0;
-            heardLife = -1;
-            nextBeat = now + BEAT_MS;
+            incarnation++;
+            serial = 0;
+            peerIncarnation = -1;
+            nextTick = now + TICK_MS;
         }
 
-        Message say(double now, double arrives) {
-            leases.told(now, peer, ++count);
-            return new Message(arrives, 1 - peer, life, count, heardLife, heardCount);
+        Message send(double now, double arrivesAt) {
+            leases.told(now, peer, ++serial);
+            return new Message(arrivesAt, 1 - peer, incarnation, serial, peerIncarnation, lastReceivedSerial);
         }
 
-        void hear(double now, Message m) {
-            if (heardLife > m.life || heardLife == m.life && (short) (m.count - heardCount) <= 0) {
-                return; // overtaken on the way, or of a life that is over
+        void receive(double now, Message m) {
+            if (peerIncarnation > m.incarnation || peerIncarnation == m.incarnation && (short) (m.serial - lastReceivedSerial) <= 0) {
+                return; // overtaken by a later message, or of an earlier incarnation
             }
-            heardLife = m.life;
-            heardCount = m.count;
+            peerIncarnation = m.incarnation;
+            lastReceivedSerial = m.serial;
             leases.heard(now, peer);
-            if (m.yourLife == life) {
-                leases.answered(now, peer, m.yourCount);
+            if (m.receiverIncarnation == incarnation) {
+                leases.answered(now, peer, m.lastReceivedSerial);
             }
         }
 
-        void beat(double now) {
-            if (now - nextBeat > BEAT_MS) {
-                leases.stalled(now - nextBeat);
+        void tick(double now) {
+            if (now - nextTick > TICK_MS) {
+                leases.stalled(now - nextTick);
             }
             leases.beat(now);
-            nextBeat = now + BEAT_MS;
+            nextTick = now + TICK_MS;
         }
     }
 
-    private record Message(double arrives, int from, int life, int count, int yourLife, int yourCount) { }
+    private record Message(double arrivesAt, int from, int incarnation, int serial, int receiverIncarnation, int lastReceivedSerial) { }
 
-    private static final int STILL_MOST_MS = 3000; // a stall
-    private static final int LATE_MOST_MS = 2500; // a message
+    private static final int MAX_STALL_MS = 3000;
+    private static final int MAX_DELAY_MS = 2500; // of a message
 
     @Property(tries = 500)
-    void neverDoBothHaveIt(@ForAll long seed) {
+    void bothNeverHoldAtTheSameTime(@ForAll long seed) {
         Random random = new Random(seed);
-        Side[] sides = {new Side(HEIR), new Side(HOLDER)};
-        PriorityQueue<Message> link = new PriorityQueue<>(Comparator.comparingDouble(Message::arrives));
-        double[] stillTill = new double[2];
-        double quietTill = 0;
-        double calmTill = 3000; // long enough for the holder to have it; then all may happen
+        Side[] sides = {new Side(SUCCESSOR), new Side(HOLDER)};
+        PriorityQueue<Message> link = new PriorityQueue<>(Comparator.comparingDouble(Message::arrivesAt));
+        double[] stalledUntil = new double[2];
+        double lossUntil = 0;
+        double noFaultsUntil = 3000; // long enough for the holder to get its term; random faults begin after it
         boolean held = false;
         boolean taken = false;
         for (double now = 0; now < 20_000; now += 5) {
             if (!held && now < 6000) {
-                calmTill = Math.max(calmTill, now + 5); // a course may lose or delay all that it says in three seconds
+                noFaultsUntil = Math.max(noFaultsUntil, now + 5); // all messages of three seconds may be lost or delayed
             }
-            if (now == 6000) { // once for sure it changes hands: both have come out of any stall, and what was late is there
-                quietTill = now + STILL_MOST_MS + LATE_MOST_MS + 2500;
-                calmTill = quietTill;
+            if (now == 6000) { // ensures that it changes hands once: all stalls are over, and delayed messages have arrived
+                lossUntil = now + MAX_STALL_MS + MAX_DELAY_MS + 2500;
+                noFaultsUntil = lossUntil;
             }
-            boolean calm = now < calmTill;
-            if (!calm && now >= quietTill && random.nextInt(400) == 0) {
-                quietTill = now + random.nextInt(4000); // the link loses all
+            boolean noFaults = now < noFaultsUntil;
+            if (!noFaults && now >= lossUntil && random.nextInt(400) == 0) {
+                lossUntil = now + random.nextInt(4000); // the link loses all messages
             }
             for (int i = 0; i < 2; i++) {
                 Side side = sides[i];
-                if (!calm && random.nextInt(1000) == 0) {
-                    stillTill[i] = now + random.nextInt(STILL_MOST_MS);
+                if (!noFaults && random.nextInt(1000) == 0) {
+                    stalledUntil[i] = now + random.nextInt(MAX_STALL_MS);
                 }
-                if (now < stillTill[i]) {
+                if (now < stalledUntil[i]) {
                     continue;
                 }
-                if (!calm && random.nextInt(1500) == 0) {
-                    side.begin(now);
+                if (!noFaults && random.nextInt(1500) == 0) {
+                    side.start(now);
                 }
-                if (now >= side.nextBeat) {
-                    side.beat(now); // before what came in a stall is read, the worst order
+                if (now >= side.nextTick) {
+                    side.tick(now); // before messages that arrived in a stall are read, which is the worst order
                 }
                 if (random.nextInt(40) == 0) {
-                    double way = random.nextInt(10) == 0 ? random.nextInt(LATE_MOST_MS) : random.nextInt(20);
-                    Message m = side.say(now, now + way);
-                    if (now >= quietTill && random.nextInt(10) > 0) {
+                    double delay = random.nextInt(10) == 0 ? random.nextInt(MAX_DELAY_MS) : random.nextInt(20);
+                    Message m = side.send(now, now + delay);
+                    if (now >= lossUntil && random.nextInt(10) > 0) {
                         link.add(m);
                     }
                 }
@@ -180,19 +180,19 @@
             PriorityQueue<Message> later = new PriorityQueue<>(link.comparator());
             for (Message m = link.poll(); m != null; m = link.poll()) {
                 int to = 1 - m.from;
-                if (m.arrives <= now && now >= stillTill[to]) {
-                    sides[to].hear(now, m);
+                if (m.arrivesAt <= now && now >= stalledUntil[to]) {
+                    sides[to].receive(now, m);
                 } else {
                     later.add(m);
                 }
             }
             link = later;
-            boolean has = sides[HOLDER].leases.heldSince(now, HEIR) != TwoPartyLeases.NOT;
-            boolean took = sides[HEIR].leases.takenSince(HOLDER) != TwoPartyLeases.NOT;
-            assertFalse(has && took, "both have it at " + now);
-            held |= has;
-            taken |= took;
+            boolean holds = sides[HOLDER].leases.heldSince(now, SUCCESSOR) != TwoPartyLeases.NOT;
+            boolean tookOver = sides[SUCCESSOR].leases.takenSince(HOLDER) != TwoPartyLeases.NOT;
+            assertFalse(holds && tookOver, "both hold it at " + now);
+            held |= holds;
+            taken |= tookOver;
         }
-        assertTrue(held && taken, "a course in which it never changed hands shows nothing");
+        assertTrue(held && taken, "it has to change hands at least once for the test to prove anything");
     }
 }
--- a/gateway/src/test/java/marlford/gateway/list/HostListTest.java
+++ b/gateway/src/test/java/marlford/gateway/list/HostListTest.java
@@ -23,14 +23,14 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** The list in virtual time: which word counts, how long a drain stands, and what an old list is still good for. */
+/** The host list in virtual time: which updates are accepted, how long a drain lasts, and how far an old list is used. */
 class HostListTest {
     private static final Limits LIMITS = Limits.DEFAULT;
-    private static final String A = "agent a";
-    private static final String B = "agent b";
+    private static final String AGENT_A = "agent a";
+    private static final String AGENT_B = "agent b";
 
     private final HostList list = new HostList(LIMITS, 0);
-    private final Map<String, HostState> gone = new HashMap<>(); // what the gateway goes by
+    private final Map<String, HostState> states = new HashMap<>(); // as passed on to the decision engine
 
     private static Host host(String id, HostState state, double startedMs) {
         return new Host(id, "a", "k", 0, state, 1, startedMs);
@@ -44,168 +44,168 @@
         return host(id, HostState.DRAINING, 0);
     }
 
-    private static void apply(Map<String, HostState> states, Told told) {
-        if (told.taken()) {
-            if (told.kind() != ListKind.CHANGES) {
+    private static void apply(Map<String, HostState> states, Told update) {
+        if (update.taken()) {
+            if (update.kind() != ListKind.CHANGES) {
                 states.clear();
             }
-            told.hosts().forEach(h -> states.put(h.id(), h.state()));
+            update.hosts().forEach(h -> states.put(h.id(), h.state()));
         }
     }
 
-    private Told whole(double now, String agent, long version, Host... hosts) {
-        Told told = list.heard(now, agent, version, true, List.of(hosts));
-        apply(gone, told);
-        return told;
+    private Told full(double now, String agent, long version, Host... hosts) {
+        Told update = list.heard(now, agent, version, true, List.of(hosts));
+        apply(states, update);
+        return update;
     }
 
     private Told change(double now, String agent, long version, Host... hosts) {
-        Told told = list.heard(now, agent, version, false, List.of(hosts));
-        apply(gone, told);
-        return told;
+        Told update = list.heard(now, agent, version, false, List.of(hosts));
+        apply(states, update);
+        return update;
     }
 
     private void review(double now) {
-        list.review(now).forEach(h -> gone.put(h.id(), h.state()));
+        list.review(now).forEach(h -> states.put(h.id(), h.state()));
     }
 
     private HostState state(String id) {
-        return gone.get(id);
+        return states.get(id);
     }
 
-    private void leaveOut(double now, String... ids) {
-        list.leaveOut(now, Set.of(ids)).forEach(h -> gone.put(h.id(), h.state()));
+    private void setExcluded(double now, String... ids) {
+        list.leaveOut(now, Set.of(ids)).forEach(h -> states.put(h.id(), h.state()));
     }
 
-    /** By hand out is out: neither a fresh list, nor a new life, nor another agent, nor time takes the host back. */
+    /** Neither a new list, nor a new incarnation, nor another agent, nor time ends the exclusion of a host. */
     @Test
-    void whatIsLeftOutStaysOutWhateverIsToldUntilItIsTakenBack() {
-        leaveOut(0, "later", "h");
-        whole(1, A, 1, ready("h"), ready("other"));
+    void excludedHostDrainsUntilTheExclusionEnds() {
+        setExcluded(0, "later", "h");
+        full(1, AGENT_A, 1, ready("h"), ready("other"));
         assertEquals(HostState.DRAINING, state("h"));
         assertEquals(HostState.RUNNING, state("other"));
-        change(2, A, 2, host("h", HostState.GONE, 0));
+        change(2, AGENT_A, 2, host("h", HostState.GONE, 0));
         assertEquals(HostState.GONE, state("h"));
-        change(3, A, 3, host("h", HostState.RUNNING, 2.5), ready("later"));
+        change(3, AGENT_A, 3, host("h", HostState.RUNNING, 2.5), ready("later"));
         assertEquals(HostState.DRAINING, state("h"));
         assertEquals(HostState.DRAINING, state("later"));
-        whole(4, B, 1, host("h", HostState.RUNNING, 3.5), ready("later"));
+        full(4, AGENT_B, 1, host("h", HostState.RUNNING, 3.5), ready("later"));
         review(LIMITS.vouchMs() * 2);
         assertEquals(HostState.DRAINING, state("h"));
-        leaveOut(LIMITS.vouchMs() * 3, "later");
+        setExcluded(LIMITS.vouchMs() * 3, "later");
         assertEquals(HostState.RUNNING, state("h"));
         assertEquals(HostState.DRAINING, state("later"));
     }
 
     @Test
-    void takingBackReopensNoHostThatDrainsByItself() {
-        whole(0, A, 1, ready("h"));
-        leaveOut(1, "h");
-        change(2, A, 2, draining("h"));
-        leaveOut(3);
+    void endOfAnExclusionDoesNotReopenADrainingHost() {
+        full(0, AGENT_A, 1, ready("h"));
+        setExcluded(1, "h");
+        change(2, AGENT_A, 2, draining("h"));
+        setExcluded(3);
         assertEquals(HostState.DRAINING, state("h"));
-        change(4, A, 3, ready("h"));
+        change(4, AGENT_A, 3, ready("h"));
         assertEquals(HostState.RUNNING, state("h"));
     }
 
     @Test
-    void aListFromBeforeTheStartIsGoneByWithoutThoseLeftOut() {
-        leaveOut(0, "h");
-        Told told = list.known(List.of(ready("h"), ready("other")), HostList.NONE);
+    void excludedHostsOfTheCachedListDrain() {
+        setExcluded(0, "h");
+        Told update = list.known(List.of(ready("h"), ready("other")), HostList.NONE);
         assertEquals(List.of(HostState.DRAINING, HostState.RUNNING),
-                told.hosts().stream().map(Host::state).toList());
+                update.hosts().stream().map(Host::state).toList());
         assertEquals(Set.of("h", "other"), list.listed());
     }
 
     @Test
-    void aChangeFromAnAgentWhoseListWasNeverHeardIsNotTaken() {
-        assertFalse(change(0, A, 5, ready("h")).taken());
-        whole(1, A, 5, ready("h"));
-        assertFalse(change(2, B, 6, draining("h")).taken());
-        assertEquals(HostList.NONE, list.version(A)); // what was missed is in the whole list
+    void changeIsRejectedWithoutAFullListOfTheSameAgent() {
+        assertFalse(change(0, AGENT_A, 5, ready("h")).taken());
+        full(1, AGENT_A, 5, ready("h"));
+        assertFalse(change(2, AGENT_B, 6, draining("h")).taken());
+        assertEquals(HostList.NONE, list.version(AGENT_A)); // the full list contains what was missed
     }
 
     @Test
-    void anOlderVersionOfTheSameAgentChangesNothing() {
-        whole(0, A, 7, draining("h"));
-        assertFalse(whole(10, A, 6, ready("h")).taken());
+    void lowerVersionOfTheSameAgentIsRejected() {
+        full(0, AGENT_A, 7, draining("h"));
+        assertFalse(full(10, AGENT_A, 6, ready("h")).taken());
         assertEquals(HostState.DRAINING, state("h"));
-        assertFalse(change(20, A, 6, ready("h")).taken());
+        assertFalse(change(20, AGENT_A, 6, ready("h")).taken());
         assertEquals(HostState.DRAINING, state("h"));
     }
 
     @Test
-    void anOlderWholeListAfterAnOlderChangeReopensNothing() {
-        whole(0, A, 7, draining("h"));
-        assertFalse(change(10, A, 6, ready("h")).taken());
-        assertEquals(HostList.NONE, list.version(A)); // the whole list is due, but not one from before version 7
-        assertFalse(whole(20, A, 6, ready("h")).taken());
+    void lowerFullListAfterALowerChangeDoesNotReopenAHost() {
+        full(0, AGENT_A, 7, draining("h"));
+        assertFalse(change(10, AGENT_A, 6, ready("h")).taken());
+        assertEquals(HostList.NONE, list.version(AGENT_A)); // the full list is due, but not in a version below 7
+        assertFalse(full(20, AGENT_A, 6, ready("h")).taken());
         assertEquals(HostState.DRAINING, state("h"));
-        assertTrue(whole(30, A, 7, draining("h"), ready("i")).taken());
-        assertEquals(7, list.version(A));
+        assertTrue(full(30, AGENT_A, 7, draining("h"), ready("i")).taken());
+        assertEquals(7, list.version(AGENT_A));
         assertEquals(HostState.DRAINING, state("h"));
     }
 
     @Test
-    void anOlderWholeListAfterOneThatCouldNotBePassedOnReopensNothing() {
-        whole(0, A, 6, ready("h"));
-        change(10, A, 7, draining("h"));
+    void lowerFullListAfterAnUpdateThatCouldNotBePassedOnDoesNotReopenAHost() {
+        full(0, AGENT_A, 6, ready("h"));
+        change(10, AGENT_A, 7, draining("h"));
         list.lost();
-        assertFalse(whole(20, A, 6, ready("h")).taken());
+        assertFalse(full(20, AGENT_A, 6, ready("h")).taken());
         assertEquals(HostState.DRAINING, state("h"));
     }
 
     @Test
-    void anAgentThatCountsAnewIsBelievedInTheEndButOpensNothing() {
-        whole(0, A, 700, draining("h"), ready("i"));
-        assertFalse(whole(100, A, 1, ready("h")).taken());
-        assertTrue(whole(100 + LIMITS.renumberMs(), A, 1, ready("h"), ready("j")).taken());
+    void agentThatRestartedItsNumberingIsAcceptedButDoesNotReopenAHost() {
+        full(0, AGENT_A, 700, draining("h"), ready("i"));
+        assertFalse(full(100, AGENT_A, 1, ready("h")).taken());
+        assertTrue(full(100 + LIMITS.lowerVersionRejectMs(), AGENT_A, 1, ready("h"), ready("j")).taken());
         assertEquals(HostState.DRAINING, state("h"));
         assertEquals(HostState.RUNNING, state("j"));
-        assertTrue(change(1200, A, 2, ready("h")).taken()); // the agent names the host itself
+        assertTrue(change(1200, AGENT_A, 2, ready("h")).taken()); // a change that names the host
         assertEquals(HostState.RUNNING, state("h"));
     }
 
     @Test
-    void aDrainOutlivesItsTellerForAWhile() {
-        whole(0, A, 9, ready("h"), ready("i"));
-        change(10, A, 10, draining("h"));
-        whole(20, B, 3, ready("h"), ready("i"));
+    void drainSurvivesAChangeOfAgentForALimitedTime() {
+        full(0, AGENT_A, 9, ready("h"), ready("i"));
+        change(10, AGENT_A, 10, draining("h"));
+        full(20, AGENT_B, 3, ready("h"), ready("i"));
         assertEquals(HostState.DRAINING, state("h"));
-        review(20 + LIMITS.stickMs() - 1);
+        review(20 + LIMITS.closedHoldMs() - 1);
         assertEquals(HostState.DRAINING, state("h"));
-        review(20 + LIMITS.stickMs());
+        review(20 + LIMITS.closedHoldMs());
         assertEquals(HostState.RUNNING, state("h"));
     }
 
     @Test
-    void aHostThatWasGoneIsNotBroughtBackByAnOlderListUnlessItStartedAnew() {
-        whole(0, A, 9, ready("h"), ready("i"));
-        change(10, A, 10, host("h", HostState.GONE, 0), host("i", HostState.GONE, 0));
-        whole(20, B, 3, ready("h"), host("i", HostState.RUNNING, 15));
+    void removedHostIsReopenedByAnotherAgentOnlyAfterARestart() {
+        full(0, AGENT_A, 9, ready("h"), ready("i"));
+        change(10, AGENT_A, 10, host("h", HostState.GONE, 0), host("i", HostState.GONE, 0));
+        full(20, AGENT_B, 3, ready("h"), host("i", HostState.RUNNING, 15));
         assertEquals(HostState.DRAINING, state("h"));
         assertEquals(HostState.RUNNING, state("i"));
     }
 
     @Test
-    void aListFromBeforeTheStartBindsNobody() {
-        apply(gone, list.known(List.of(draining("h"), ready("i")), HostList.NONE));
-        whole(0, A, 1, ready("h"));
+    void cachedListDoesNotKeepAHostClosed() {
+        apply(states, list.known(List.of(draining("h"), ready("i")), HostList.NONE));
+        full(0, AGENT_A, 1, ready("h"));
         assertEquals(HostState.RUNNING, state("h"));
     }
 
     @Test
-    void whatCouldNotBePassedOnIsAskedForAgain() {
-        whole(0, A, 4, ready("h"));
-        assertEquals(4, list.version(A));
+    void fullListIsDueAfterAnUpdateThatCouldNotBePassedOn() {
+        full(0, AGENT_A, 4, ready("h"));
+        assertEquals(4, list.version(AGENT_A));
         list.lost();
-        assertEquals(HostList.NONE, list.version(A));
-        assertFalse(change(5, A, 5, draining("h")).taken());
+        assertEquals(HostList.NONE, list.version(AGENT_A));
+        assertFalse(change(5, AGENT_A, 5, draining("h")).taken());
     }
 
     @Test
-    void anOldListPutsAsideWhoDoesNotAnswerAndTheNextWordTakesThemBack() {
-        whole(0, A, 1, ready("h1"), ready("h2"), ready("h3"), ready("h4"));
+    void staleListSuspendsUnresponsiveHostsUntilTheNextUpdate() {
+        full(0, AGENT_A, 1, ready("h1"), ready("h2"), ready("h3"), ready("h4"));
         double old = LIMITS.vouchMs() + 1;
         list.served(old - 10, "h3");
         list.served(old - 10, "h4");
@@ -214,14 +214,14 @@
         review(old);
         assertEquals(List.of(HostState.DRAINING, HostState.DRAINING, HostState.RUNNING, HostState.RUNNING),
                 List.of(state("h1"), state("h2"), state("h3"), state("h4")));
-        change(old + 1, A, 1); // an empty word: all is as it was
+        change(old + 1, AGENT_A, 1); // an empty update confirms the list
         assertEquals(HostState.RUNNING, state("h1"));
         assertEquals(HostState.RUNNING, state("h2"));
         assertEquals(0, list.ageMs(old + 1));
     }
 
     @Test
-    void limitsOutOfRangeAreRefused() {
+    void limitsOutOfRangeAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Limits(0, 0.5, 1, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Limits(1, 1.5, 1, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Limits(1, 0.5, -1, 1, 1));
@@ -229,13 +229,18 @@
         assertThrows(IllegalArgumentException.class, () -> new Limits(1, 0.5, 2, 1, 1));
     }
 
-    // ---- any course of words, silences and answers; jqwik prints the seed of a failure
+    // ---- random sequences of updates, pauses and answers; jqwik prints the seed of a failure
 
-    /** One thing that happens some time {@code after} the last: a word of an agent, an answer of a host, or a review. */
-    record Step(int what, double after, int agent, long version, List<Host> hosts) { }
+    /**
+     * One event.
+     *
+     * @param what 0 for a full list, 1 for a change, 2 for an answer of a host, otherwise a review
+     * @param afterMs time since the event before
+     */
+    record Step(int what, double afterMs, int agent, long version, List<Host> hosts) { }
 
     @Provide
-    Arbitrary<List<Step>> courses() {
+    Arbitrary<List<Step>> stepSequences() {
         Arbitrary<Host> hosts = Combinators.combine(Arbitraries.integers().between(0, 5),
                 Arbitraries.of(HostState.values()), Arbitraries.of(0.0, 5.0))
                 .as((id, state, started) -> host("h" + id, state, started));
@@ -252,88 +257,88 @@
         return new ArrayList<>(byId.values());
     }
 
-    /** The whole of the rule at once, against what a plain reading of the words says. */
+    /** Checks all rules at once against a direct interpretation of the updates. */
     @Property(tries = 2000)
-    void aGatewayIsNeverLeftWithoutAServerAndNeverReopensOne(@ForAll("courses") List<Step> steps) {
+    void noHostIsReopenedWronglyAndAGatewayAlwaysHasAHost(@ForAll("stepSequences") List<Step> steps) {
         HostList any = new HostList(LIMITS, 0);
-        Map<String, HostState> by = new HashMap<>(); // what the gateway goes by
-        Map<String, Host> said = new HashMap<>(); // what the last taken words say
-        Map<String, Double> left = new HashMap<>(); // when a host was last told, or found, to be gone
-        String teller = null;
-        long held = HostList.NONE; // the version of the last word taken
+        Map<String, HostState> used = new HashMap<>(); // as passed on to the decision engine
+        Map<String, Host> reported = new HashMap<>(); // by the accepted updates
+        Map<String, Double> removedAt = new HashMap<>(); // when a host was last reported, or found, to be gone
+        String source = null;
+        long acceptedVersion = HostList.NONE; // the version of the last accepted update
         double now = 0;
         for (Step s : steps) {
-            now += s.after();
+            now += s.afterMs();
             if (s.what() <= 1) {
-                String agent = s.agent() == 0 ? A : B;
-                boolean whole = s.what() == 0;
-                boolean older = agent.equals(teller) && s.version() < held;
-                Told told = any.heard(now, agent, s.version(), whole, s.hosts());
-                if (!told.taken()) {
-                    assertTrue(!whole || older, "a good word was turned down");
-                    assertTrue(whole || any.version(agent) == HostList.NONE, "a change was missed for good");
+                String agent = s.agent() == 0 ? AGENT_A : AGENT_B;
+                boolean full = s.what() == 0;
+                boolean older = agent.equals(source) && s.version() < acceptedVersion;
+                Told update = any.heard(now, agent, s.version(), full, s.hosts());
+                if (!update.taken()) {
+                    assertTrue(!full || older, "a valid full list was rejected");
+                    assertTrue(full || any.version(agent) == HostList.NONE, "a change was rejected, but no full list is due");
                     continue;
                 }
-                assertTrue(whole || !older, "an older change was taken");
+                assertTrue(full || !older, "a change with a lower version was accepted");
                 assertEquals(s.version(), any.version(agent));
-                boolean doubtful = teller != null && (!agent.equals(teller) || older);
+                boolean mayBeOlder = source != null && (!agent.equals(source) || older);
                 for (Host h : s.hosts()) {
-                    Host before = said.get(h.id());
-                    boolean sameLife = before != null && before.startedMs() == h.startedMs();
+                    Host before = reported.get(h.id());
+                    boolean sameIncarnation = before != null && before.startedMs() == h.startedMs();
                     boolean wasOpen = before == null || before.state() == HostState.RUNNING;
-                    HostState is = told.hosts().stream().filter(t -> t.id().equals(h.id())).findFirst().orElseThrow()
+                    HostState is = update.hosts().stream().filter(t -> t.id().equals(h.id())).findFirst().orElseThrow()
                             .state();
-                    boolean forgotten = now - left.getOrDefault(h.id(), now) > LIMITS.goneMs();
-                    if (doubtful && sameLife && !wasOpen && !forgotten && h.state() == HostState.RUNNING) {
-                        assertEquals(HostState.DRAINING, is, "reopened by another teller");
+                    boolean forgotten = now - removedAt.getOrDefault(h.id(), now) > LIMITS.removedHostRetentionMs();
+                    if (mayBeOlder && sameIncarnation && !wasOpen && !forgotten && h.state() == HostState.RUNNING) {
+                        assertEquals(HostState.DRAINING, is, "a closed host was reopened by another agent");
                     }
                     if (h.state() != HostState.RUNNING) {
                         assertEquals(h.state(), is);
                     }
                 }
-                teller = agent;
-                held = s.version();
-                if (whole) {
-                    by.clear();
-                    for (Host h : said.values()) {
+                source = agent;
+                acceptedVersion = s.version();
+                if (full) {
+                    used.clear();
+                    for (Host h : reported.values()) {
                         if (h.state() != HostState.GONE) {
-                            left.put(h.id(), now);
+                            removedAt.put(h.id(), now);
                         }
                     }
-                    said.replaceAll((id, h) -> host(id, HostState.GONE, h.startedMs()));
+                    reported.replaceAll((id, h) -> host(id, HostState.GONE, h.startedMs()));
                 }
                 for (Host h : s.hosts()) {
-                    said.put(h.id(), h);
-                    left.remove(h.id());
+                    reported.put(h.id(), h);
+                    removedAt.remove(h.id());
                     if (h.state() == HostState.GONE) {
-                        left.put(h.id(), now);
+                        removedAt.put(h.id(), now);
                     }
                 }
-                told.hosts().forEach(h -> by.put(h.id(), h.state()));
+                update.hosts().forEach(h -> used.put(h.id(), h.state()));
             } else if (s.what() == 2) {
                 any.served(now, "h" + s.agent());
             } else {
-                any.review(now).forEach(h -> by.put(h.id(), h.state()));
+                any.review(now).forEach(h -> used.put(h.id(), h.state()));
             }
-            // Nobody is used whom the words close, and at least half of the open ones are used once none is shut.
-            for (Map.Entry<String, HostState> e : by.entrySet()) {
+            // No host is used that the updates close.
+            for (Map.Entry<String, HostState> e : used.entrySet()) {
                 if (e.getValue() == HostState.RUNNING) {
-                    assertEquals(HostState.RUNNING, said.get(e.getKey()).state(), e.getKey());
+                    assertEquals(HostState.RUNNING, reported.get(e.getKey()).state(), e.getKey());
                 }
             }
             assertTrue(any.ageMs(now) >= 0);
         }
-        // With no further word, and all that shuts run out, at least half of the running ones serve.
-        now += LIMITS.vouchMs() + LIMITS.stickMs() + 1;
-        any.review(now).forEach(h -> by.put(h.id(), h.state()));
-        long running = said.values().stream().filter(h -> h.state() == HostState.RUNNING).count();
-        long used = by.values().stream().filter(s -> s == HostState.RUNNING).count();
-        assertTrue(2 * used >= running && (running == 0 || used >= 1), used + " of " + running + " are used");
+        // Without further updates, once closed hosts are no longer held closed, at least half of the running hosts are used.
+        now += LIMITS.vouchMs() + LIMITS.closedHoldMs() + 1;
+        any.review(now).forEach(h -> used.put(h.id(), h.state()));
+        long running = reported.values().stream().filter(h -> h.state() == HostState.RUNNING).count();
+        long usedCount = used.values().stream().filter(s -> s == HostState.RUNNING).count();
+        assertTrue(2 * usedCount >= running && (running == 0 || usedCount >= 1), usedCount + " of " + running + " running hosts are used");
     }
 
-    /** A whole list costs discovery most, and a herd that returns asks for fourteen of them at once. */
+    /** A full list is discovery's most expensive answer, and a tier that restarts requests fourteen of them at once. */
     @Test
-    void turnedAwayItGoesOnFromTheListOfBeforeTheStart() {
+    void afterARejectionChangesContinueFromTheCachedList() {
         HostList list = new HostList(HostList.Limits.DEFAULT, 0);
         list.known(List.of(ready("h"), ready("i")), 41);
         assertEquals(HostList.NONE, list.version("agent"));
@@ -342,7 +347,7 @@
         assertTrue(list.heard(10, "agent", 43, false, List.of(draining("h"))).taken());
         assertEquals(43, list.version("agent"));
         list.goOnFromKnown("agent");
-        assertEquals(43, list.version("agent"), "what was heard since is newer");
+        assertEquals(43, list.version("agent"), "the received version is newer than the cached one");
 
         HostList without = new HostList(HostList.Limits.DEFAULT, 0);
         without.known(List.of(ready("h")), HostList.NONE);
@@ -351,26 +356,26 @@
     }
 
     @Test
-    void changesAreCountedBeforeTheyAreTaken() {
-        whole(0, A, 1, ready("a"), ready("b"));
+    void listedHostsAreCountedBeforeAChangeIsAccepted() {
+        full(0, AGENT_A, 1, ready("a"), ready("b"));
         assertEquals(3, list.listedWith(List.of(ready("a"), ready("c"))));
         assertEquals(1, list.listedWith(List.of(host("b", HostState.GONE, 0), host("x", HostState.GONE, 0))));
-        change(1, A, 2, host("b", HostState.GONE, 0));
+        change(1, AGENT_A, 2, host("b", HostState.GONE, 0));
         assertEquals(2, list.listedWith(List.of(ready("b"))));
     }
 
-    /** Lists that share no host, one after another within a minute: those that left once added up without a bound. */
+    /** Full lists without a common host follow each other within a minute; removed hosts used to accumulate without a limit. */
     @Test
-    void hostsThatLeftAreRememberedUpToABound() {
-        int hosts = HostList.GONE_MAX;
+    void rememberedRemovedHostsAreLimited() {
+        int hosts = HostList.MAX_REMOVED_HOSTS;
         for (int version = 1; version <= 3; version++) {
             List<Host> fresh = new ArrayList<>();
             for (int i = 0; i < hosts; i++) {
                 fresh.add(ready(version + "-" + i));
             }
-            assertEquals(hosts, list.heard(version, A, version, true, fresh).hosts().size());
+            assertEquals(hosts, list.heard(version, AGENT_A, version, true, fresh).hosts().size());
         }
         assertEquals(hosts, list.listed().size());
-        assertEquals(2 * hosts, list.held());
+        assertEquals(2 * hosts, list.entryCount());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/list/PollingBackoffTest.java
+++ b/gateway/src/test/java/marlford/gateway/list/PollingBackoffTest.java
@@ -15,214 +15,220 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** How often a gateway calls discovery, alone and where discovery turns a whole tier away. */
+/** When a gateway calls discovery, alone and while discovery rejects calls of a whole tier. */
 class PollingBackoffTest {
-    private static final double MEAN_LOW = 0.5; // of the pace: the shortest wait
-    private static final double GRACE_MS = 4000; // of a drain, so long that it bounds no wait
-    private static final double LINE_MS = 2000; // that discovery's line lasts
-    private static final double ANSWERED_MS = 100; // by an agent on the own machine, and a loop that is late
+    private static final double MIN_WAIT_SHARE = 0.5; // of the mean wait
+    private static final double LONG_DRAIN_GRACE_MS = 4000; // limits no wait
+    private static final double DISCOVERY_QUEUE_MS = 2000; // time that a call may spend in discovery's queue
+    private static final double LOCAL_ANSWER_MS = 100; // answer of an agent on this machine, with a late event loop
 
     @Test
-    void whereNobodyIsTurnedAwayCallsFollowAtOnce() {
-        PollingBackoff pace = new PollingBackoff(new Random(1), GRACE_MS, true);
-        assertEquals(0, pace.answered(0));
-        assertEquals(4000, pace.holdMs(pace.watchMs(0)));
-        assertEquals(4450, pace.watchMs(0));
-        assertEquals(1000, pace.patienceMs());
-        long first = pace.broke(0);
-        assertTrue(first >= 25 && first <= 50, "after a first broken call: " + first);
+    void withoutRejectionsCallsFollowImmediately() {
+        PollingBackoff backoff = new PollingBackoff(new Random(1), LONG_DRAIN_GRACE_MS, true);
+        assertEquals(0, backoff.answered(0));
+        assertEquals(4000, backoff.holdMs(backoff.watchMs(0)));
+        assertEquals(4450, backoff.watchMs(0));
+        assertEquals(1000, backoff.patienceMs());
+        long first = backoff.broke(0);
+        assertTrue(first >= 25 && first <= 50, "wait after a first failed call: " + first);
         long last = 0;
         for (int i = 0; i < 70; i++) {
-            last = pace.broke(0);
+            last = backoff.broke(0);
         }
-        assertTrue(last >= 400 && last <= 800, "after many: " + last);
+        assertTrue(last >= 400 && last <= 800, "wait after many failed calls: " + last);
     }
 
     @Test
-    void refusalsSlowItDownAndAnswersBringItBack() {
-        PollingBackoff pace = new PollingBackoff(new Random(1), GRACE_MS, false);
+    void rejectionsThrottleAndAnswersEndTheThrottling() {
+        PollingBackoff backoff = new PollingBackoff(new Random(1), LONG_DRAIN_GRACE_MS, false);
         for (int i = 0; i < 20; i++) {
-            long wait = pace.turnedAway(0);
-            assertTrue(wait <= 1.5 * PollingBackoff.MOST_MS, "never beyond the bound: " + wait);
+            long wait = backoff.turnedAway(0);
+            assertTrue(wait <= 1.5 * PollingBackoff.MAX_MEAN_WAIT_MS, "wait after a rejection: " + wait);
         }
-        assertTrue(pace.turnedAway(0) >= MEAN_LOW * PollingBackoff.MOST_MS);
-        long watchPatience = pace.watchMs(0) - pace.holdMs(pace.watchMs(0));
-        assertTrue(watchPatience > 1000 && pace.patienceMs() > LINE_MS, "its calls wait in a line");
+        assertTrue(backoff.turnedAway(0) >= MIN_WAIT_SHARE * PollingBackoff.MAX_MEAN_WAIT_MS);
+        long longPollMargin = backoff.watchMs(0) - backoff.holdMs(backoff.watchMs(0));
+        assertTrue(longPollMargin > 1000 && backoff.patienceMs() > DISCOVERY_QUEUE_MS, "timeouts have to cover discovery's queue");
         int answers = 0;
-        while (pace.crowded()) {
-            pace.answered(0);
+        while (backoff.isThrottled()) {
+            backoff.answered(0);
             answers++;
         }
-        assertTrue(answers <= 10, "answers until it calls at once: " + answers);
-        pace.turnedAway(0);
-        pace.moved();
-        assertFalse(pace.crowded(), "another agent has turned nobody away");
+        assertTrue(answers <= 10, "answers until the throttling ends: " + answers);
+        backoff.turnedAway(0);
+        backoff.moved();
+        assertFalse(backoff.isThrottled(), "another agent has not rejected a call");
     }
 
-    /** To read an answer that can't be used is work for nothing; one that is too long was read twenty times a second. */
+    /** Reading an answer that can't be used is useless work; a list that was too long used to be read twenty times a second. */
     @Property
-    void answersThatCantBeUsedAreReadEverMoreRarely(@ForAll @DoubleRange(max = 10_000) double grace,
+    void waitsGrowAfterUnusableAnswers(@ForAll @DoubleRange(max = 10_000) double grace,
             @ForAll boolean pushed, @ForAll long seed) {
-        PollingBackoff pace = new PollingBackoff(new Random(seed), grace, pushed);
-        long tooLong = pace.tooLong(0);
-        assertTrue(tooLong >= 2000 && tooLong <= PollingBackoff.DUE_MS, "too long: " + tooLong);
-        long wait = pace.unusable(0);
-        assertTrue(wait <= 50, "after the first: " + wait);
+        PollingBackoff backoff = new PollingBackoff(new Random(seed), grace, pushed);
+        long tooLong = backoff.tooLong(0);
+        assertTrue(tooLong >= 2000 && tooLong <= PollingBackoff.MAX_CALL_GAP_MS, "wait after a list that is too long: " + tooLong);
+        long wait = backoff.unusable(0);
+        assertTrue(wait <= 50, "wait after the first unusable answer: " + wait);
         for (int i = 0; i < 30; i++) {
-            wait = pace.unusable(0);
+            wait = backoff.unusable(0);
         }
-        assertTrue(wait >= 2000 && wait <= PollingBackoff.DUE_MS, "after many: " + wait);
-        pace.answered(0);
-        assertTrue(pace.unusable(0) <= 50, "an answer that was taken ends it");
+        assertTrue(wait >= 2000 && wait <= PollingBackoff.MAX_CALL_GAP_MS, "wait after many unusable answers: " + wait);
+        backoff.answered(0);
+        assertTrue(backoff.unusable(0) <= 50, "an accepted answer has to reset the wait");
     }
 
-    /** What becomes of a call while discovery is away, and of one that was made just before it returns. */
-    enum Fate { REFUSED, NEVER_UP, SILENT, RESET, TURNED_AWAY, UNREADABLE, TOO_LONG, SILENT_WATCH, ANSWERED_THEN_CLOSED }
+    /** The end of a call while discovery is unreachable, or of one that begins just before it is reachable again. */
+    enum CallEnd {
+        CONNECTION_REFUSED, CONNECT_TIMEOUT, ANSWER_TIMEOUT, RESET, REJECTED, UNREADABLE, TOO_LONG, LONG_POLL_TIMEOUT,
+        ANSWERED_THEN_CLOSED
+    }
 
     /**
-     * A gateway that calls an agent, in virtual time. Each call begins with a connection; what it comes to is drawn. The next
-     * one begins after the wait that the pace gives, and after as long a wait for the gateway's turn as it allows.
+     * A gateway that calls an agent, in virtual time. Each call begins with a connection; its end is drawn at random. The next
+     * call begins after the wait that the backoff returns, and optionally after the longest wait for a shared fetch.
      */
     private static final class Caller {
-        final PollingBackoff pace;
+        final PollingBackoff backoff;
         final Random random;
         double now;
 
-        Caller(PollingBackoff pace, Random random) {
-            this.pace = pace;
+        Caller(PollingBackoff backoff, Random random) {
+            this.backoff = backoff;
             this.random = random;
         }
 
-        /** Makes a call that comes to this, and goes on to the moment at which the next one begins. */
-        void call(Fate fate, boolean inTurn) {
-            pace.called(now);
-            now += wait(fate);
-            if (inTurn) {
-                now += pace.turnMs(now);
+        /** Makes a call with this end, and advances the time to the start of the next one. */
+        void call(CallEnd end, boolean awaitsSharedFetch) {
+            backoff.called(now);
+            now += wait(end);
+            if (awaitsSharedFetch) {
+                now += backoff.turnMs(now);
             }
         }
 
-        private long wait(Fate fate) {
-            switch (fate) {
-                case REFUSED:
-                    return pace.broke(now);
-                case NEVER_UP:
-                    now += pace.connectMs();
-                    return pace.broke(now);
-                case SILENT:
-                    now += random.nextInt((int) pace.connectMs()) + pace.patienceMs();
-                    return pace.broke(now);
+        private long wait(CallEnd end) {
+            switch (end) {
+                case CONNECTION_REFUSED:
+                    return backoff.broke(now);
+                case CONNECT_TIMEOUT:
+                    now += backoff.connectMs();
+                    return backoff.broke(now);
+                case ANSWER_TIMEOUT:
+                    now += random.nextInt((int) backoff.connectMs()) + backoff.patienceMs();
+                    return backoff.broke(now);
                 case RESET:
-                    now += random.nextInt((int) (pace.connectMs() + pace.patienceMs()));
-                    return pace.broke(now);
-                case TURNED_AWAY: // at once, or it could be reached before
-                    return pace.turnedAway(now);
+                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
+                    return backoff.broke(now);
+                case REJECTED: // immediately; otherwise discovery was reachable before
+                    return backoff.turnedAway(now);
                 case UNREADABLE:
-                    now += random.nextInt((int) (pace.connectMs() + pace.patienceMs()));
-                    return pace.unusable(now);
+                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
+                    return backoff.unusable(now);
                 case TOO_LONG:
-                    now += random.nextInt((int) (pace.connectMs() + pace.patienceMs()));
-                    return pace.tooLong(now);
-                case SILENT_WATCH:
-                    now += random.nextInt((int) pace.connectMs());
-                    now += pace.watchMs(now);
-                    return pace.fellSilent();
-                default: // the connection ends in the pause after an answer
-                    now += random.nextInt((int) (pace.connectMs() + pace.patienceMs()));
-                    now += random.nextInt((int) pace.answered(now) + 1);
-                    return pace.broke(now);
+                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
+                    return backoff.tooLong(now);
+                case LONG_POLL_TIMEOUT:
+                    now += random.nextInt((int) backoff.connectMs());
+                    now += backoff.watchMs(now);
+                    return backoff.fellSilent();
+                default: // the connection is closed in the wait after an answer
+                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
+                    now += random.nextInt((int) backoff.answered(now) + 1);
+                    return backoff.broke(now);
             }
         }
     }
 
     /**
-     * Whatever came of the calls before, a change is known {@link PollingBackoff#TOLD_MS} after discovery had it and could be
-     * reached. That moment lies anywhere after the start of the last call that failed, so the next call has to begin within
-     * that time less a call's own. Before, a call in a crowd was silent for 6 s and the wait after it lasted up to 6 s, a
-     * refused one waited for 6 s, and a turn for 12 s.
+     * However earlier calls ended, a change is known {@link PollingBackoff#CHANGE_KNOWN_MS} after discovery had it and was
+     * reachable. That can be at any time after the start of the last failed call, so the next call has to begin within that time
+     * less the duration of a call. Previously a throttled call timed out after 6 s and was followed by a wait of up to 6 s, the
+     * wait after a refused connection was 6 s, and the wait for a shared fetch 12 s.
      */
     @Property
-    void aCallBeginsInTimeWhateverBecameOfTheOnesBefore(@ForAll @DoubleRange(max = 10_000) double grace,
-            @ForAll boolean pushed, @ForAll @Size(min = 1, max = 30) List<Fate> fates, @ForAll boolean inTurn,
+    void nextCallBeginsBeforeTheDeadlineHoweverEarlierCallsEnded(@ForAll @DoubleRange(max = 10_000) double grace,
+            @ForAll boolean pushed, @ForAll @Size(min = 1, max = 30) List<CallEnd> ends,
+            @ForAll boolean awaitsSharedFetch,
             @ForAll long seed) {
         Random random = new Random(seed);
         Caller caller = new Caller(new PollingBackoff(random, grace, pushed), random);
-        for (Fate fate : fates) {
+        for (CallEnd end : ends) {
             double began = caller.now;
-            caller.call(fate, inTurn);
-            double upTo = fate == Fate.ANSWERED_THEN_CLOSED ? began + caller.pace.connectMs() + caller.pace.patienceMs() : began;
-            assertTrue(caller.now <= upTo + PollingBackoff.DUE_MS + PollingBackoff.LATEST_MS,
-                    "after " + fate + " the next call came " + (caller.now - began) + " ms after the last");
+            caller.call(end, awaitsSharedFetch);
+            double upToDate = end == CallEnd.ANSWERED_THEN_CLOSED
+                    ? began + caller.backoff.connectMs() + caller.backoff.patienceMs() : began;
+            assertTrue(caller.now <= upToDate + PollingBackoff.MAX_CALL_GAP_MS + PollingBackoff.MIN_WAIT_MS,
+                    "after " + end + " the next call began " + (caller.now - began) + " ms after the last one");
         }
     }
 
-    /** A watch that is opened on the connection of the last answer, after any pause: the same deadline, from that answer on. */
+    /** For a long poll on the connection of the last answer, after any wait, the same deadline counts from that answer. */
     @Property
-    void aSilentWatchIsOpenedAnewInTime(@ForAll @DoubleRange(max = 10_000) double grace, @ForAll boolean pushed,
-            @ForAll @IntRange(max = 8) int refusals, @ForAll @IntRange(max = 8) int answers, @ForAll long seed) {
-        PollingBackoff pace = new PollingBackoff(new Random(seed), grace, pushed);
-        for (int i = 0; i < refusals; i++) {
-            pace.turnedAway(0);
+    void longPollTimesOutBeforeTheDeadline(@ForAll @DoubleRange(max = 10_000) double grace, @ForAll boolean pushed,
+            @ForAll @IntRange(max = 8) int rejections, @ForAll @IntRange(max = 8) int answers, @ForAll long seed) {
+        PollingBackoff backoff = new PollingBackoff(new Random(seed), grace, pushed);
+        for (int i = 0; i < rejections; i++) {
+            backoff.turnedAway(0);
         }
         long pause = 0;
         for (int i = 0; i <= answers; i++) {
-            pause = pace.answered(0);
+            pause = backoff.answered(0);
         }
-        long watch = pace.watchMs(pause);
-        assertTrue(pace.holdMs(watch) <= watch);
-        double again = pause + watch + pace.fellSilent();
-        assertTrue(again <= PollingBackoff.DUE_MS, "opened anew after " + again + " ms");
+        long longPollMs = backoff.watchMs(pause);
+        assertTrue(backoff.holdMs(longPollMs) <= longPollMs);
+        double nextCallAt = pause + longPollMs + backoff.fellSilent();
+        assertTrue(nextCallAt <= PollingBackoff.MAX_CALL_GAP_MS, "the next call began after " + nextCallAt + " ms");
     }
 
-    /** An agent that was away and is back knows at once what drains: a call comes while the drain's grace lasts. */
+    /** An agent that is back after an outage knows the draining hosts immediately: it is called within the drain grace. */
     @Property
-    void anAgentThatIsBackIsCalledWithinTheGrace(@ForAll @DoubleRange(min = 400, max = 10_000) double grace,
+    void agentThatIsBackIsCalledWithinTheDrainGrace(@ForAll @DoubleRange(min = 400, max = 10_000) double grace,
             @ForAll @IntRange(min = 1, max = 40) int failures, @ForAll long seed) {
-        PollingBackoff pace = new PollingBackoff(new Random(seed), grace, true);
+        PollingBackoff backoff = new PollingBackoff(new Random(seed), grace, true);
         long wait = 0;
         for (int i = 0; i < failures; i++) {
-            wait = pace.broke(0);
+            wait = backoff.broke(0);
         }
-        double silent = Math.max(pace.patienceMs(), pace.connectMs()); // of the last call ahead of its return
-        assertTrue(silent + wait + ANSWERED_MS <= grace, "called after " + silent + " and " + wait + " ms");
+        double timeout = Math.max(backoff.patienceMs(), backoff.connectMs()); // timeout of the last call before the agent is back
+        assertTrue(timeout + wait + LOCAL_ANSWER_MS <= grace, "called after a timeout of " + timeout + " and a wait of " + wait + " ms");
     }
 
     /**
-     * A tier of 14 and one of 100 that lost their lists in one moment, before a discovery that answers four calls a second.
-     * Before, each called again within 0.4 to 0.8 s: 23 calls a second of 14, and 160 of 100.
+     * A tier of 14 gateways and one of 100 lose their lists at the same time, while discovery answers four calls a second.
+     * Previously each gateway called again within 0.4 to 0.8 s, which made 23 calls a second with 14, and 160 with 100.
      */
     @Test
-    void aHerdDoesNotCallInStepNorFasterThanItIsServed() {
+    void tierWithoutListsDoesNotOverloadDiscovery() {
         for (int gateways : new int[] {14, 100}) {
             Random random = new Random(gateways);
             List<PollingBackoff> tier = new ArrayList<>();
             PriorityQueue<long[]> due = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
             for (int i = 0; i < gateways; i++) {
-                tier.add(new PollingBackoff(new Random(random.nextLong()), GRACE_MS, false));
+                tier.add(new PollingBackoff(new Random(random.nextLong()), LONG_DRAIN_GRACE_MS, false));
                 due.add(new long[] {random.nextInt(200), i});
             }
             int calls = 0;
-            int most = 0;
+            int maxPerSecond = 0;
             int[] perSecond = new int[40];
-            double room = 4;
-            double servedAt = 0;
+            double capacity = 4;
+            double capacityAt = 0;
             while (due.peek()[0] < 40_000) {
                 long[] next = due.poll();
                 calls++;
                 int second = (int) (next[0] / 1000);
                 perSecond[second]++;
-                room = Math.min(4, room + (next[0] - servedAt) / 250);
-                servedAt = next[0];
-                boolean served = room >= 1;
-                room -= served ? 1 : 0;
-                PollingBackoff pace = tier.get((int) next[1]);
-                long wait = served ? Math.max(250, pace.answered(next[0])) : pace.turnedAway(next[0]);
+                capacity = Math.min(4, capacity + (next[0] - capacityAt) / 250);
+                capacityAt = next[0];
+                boolean served = capacity >= 1;
+                capacity -= served ? 1 : 0;
+                PollingBackoff backoff = tier.get((int) next[1]);
+                long wait = served ? Math.max(250, backoff.answered(next[0])) : backoff.turnedAway(next[0]);
                 due.add(new long[] {next[0] + wait, next[1]});
             }
             for (int second = 10; second < 40; second++) {
-                most = Math.max(most, perSecond[second]);
+                maxPerSecond = Math.max(maxPerSecond, perSecond[second]);
             }
-            assertTrue(most <= 0.6 * gateways + 8, most + " calls in a second of " + gateways + ", " + calls + " in all");
+            assertTrue(maxPerSecond <= 0.6 * gateways + 8,
+                    maxPerSecond + " calls in one second by " + gateways + " gateways, " + calls + " calls in all");
         }
     }
 }
