--- a/gateway/src/main/java/marlford/gateway/HostStarts.java
+++ b/gateway/src/main/java/marlford/gateway/HostStarts.java
@@ -1,47 +1,50 @@
 package marlford.gateway;
 
 /**
- * When hosts started, on this gateway's own monotonic clock. Discovery tells a host's start as wall clock time, and the wall clock
- * of this gateway may be wrong by up to an hour; a host that is taken for warm too early is overloaded, one that is taken for cold
- * too long only gets less for a moment. So each estimate is the latest start that is possible:
+ * Estimates when hosts started, on this gateway's own monotonic clock. Discovery reports a host's start as wall clock time, and
+ * this gateway's wall clock may be wrong by up to an hour. A host that is taken for warm too early is overloaded, while one that
+ * is taken for cold too long only gets less load for a while. So each estimate is the latest start that is possible:
  *
  * <ul>
- * <li>A start that is told after an agent has told a list before is as recent as the word that tells it.
- * <li>Of the hosts in a process's first list, the youngest may have started just now, and the others as long before it as their
- * own times are apart. Only what started over {@value #WALL_CLOCK_ERROR_MS} ms ago by the wall clock is certain to be warm.
+ * <li>A start that is reported after an agent has already reported a list is taken to be as recent as the report itself.
+ * <li>Of the hosts in a process's first list, the youngest is taken to have started just now, and each other as long before it as
+ * their reported starts differ. Only a start more than {@value #MAX_WALL_CLOCK_ERROR_MS} ms plus the warm-up time ago by the
+ * wall clock certainly belongs to a warm host.
  * </ul>
+ *
+ * <p>Pure: the caller passes the time, in milliseconds. Not thread-safe: used on one event loop only.
  */
 final class HostStarts {
-    /** The most that a wall clock is wrong by. */
-    static final double WALL_CLOCK_ERROR_MS = 3_600_000;
+    /** The largest error of a wall clock. */
+    static final double MAX_WALL_CLOCK_ERROR_MS = 3_600_000;
 
     private final double warmWithinMs;
-    private double youngestStartedMs; // of all hosts told so far
-    private boolean listKnown; // an agent has told one
+    private double youngestStartedMs; // of all hosts reported so far
+    private boolean agentListReceived;
 
     /** @param warmWithinMs how long hosts take to warm up */
     HostStarts(double warmWithinMs) {
         this.warmWithinMs = warmWithinMs;
     }
 
-    /** Takes note of a word of discovery, ahead of the estimates for its hosts. */
+    /** Notes the hosts of a list; to be called before the estimates for these hosts. */
     void telling(Iterable<EngineApi.Host> hosts) {
         for (EngineApi.Host host : hosts) {
             youngestStartedMs = Math.max(youngestStartedMs, host.startedMs());
         }
     }
 
-    /** The latest moment at which a host can have started that is told with this start for the first time. */
+    /** The latest time at which a host can have started that is reported with this start for the first time. */
     double latestStart(double now, double startedMs) {
-        if (listKnown) {
+        if (agentListReceived) {
             return now;
         }
-        boolean longAgo = now - startedMs > WALL_CLOCK_ERROR_MS + warmWithinMs;
-        return longAgo ? startedMs : now - (youngestStartedMs - startedMs);
+        boolean certainlyWarm = now - startedMs > MAX_WALL_CLOCK_ERROR_MS + warmWithinMs;
+        return certainlyWarm ? startedMs : now - (youngestStartedMs - startedMs);
     }
 
-    /** The word has been taken; {@code kind} tells whether it is an agent's, or the configuration's list. */
+    /** Records that a list was processed; {@code kind} distinguishes an agent's list from the cached one. */
     void told(EngineApi.ListKind kind) {
-        listKnown |= kind != EngineApi.ListKind.CACHED;
+        agentListReceived |= kind != EngineApi.ListKind.CACHED;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/LedgerMessage.java
+++ b/gateway/src/main/java/marlford/gateway/LedgerMessage.java
@@ -6,82 +6,104 @@
 import marlford.gateway.frame.Frame;
 
 /**
- * A message between gateways and its bytes: version, check sum, the sender's life, the life it knows of the
- * receiver, its own count of messages to the receiver and the last one it had from there; then entries on
- * customers. Translation only: amounts are fixed point, held within what their field can say.
+ * A message between two gateways about customers' ledgers, and its encoding: version, checksum, the header of the
+ * components below, and then the entries, one for each customer. Translation only: amounts are fixed point and clamped
+ * to the range of their field.
+ *
+ * @param epoch the sender's incarnation
+ * @param yourEpoch the receiver's incarnation as the sender knows it
+ * @param serial the sender's count of messages to the receiver, this one included; 16 bits, wraps around
+ * @param yourSerial serial number of the last message that the sender received from the receiver
+ * @param entries at most 255
  */
 record LedgerMessage(int epoch, int yourEpoch, int serial, int yourSerial, List<Entry> entries) {
     static final int HEAD_BYTES = 16;
-    static final int ENTRY_BYTES = 27; // the longest entry
+    static final int ENTRY_BYTES = 27; // of the longest entry
     private static final byte VERSION = 3;
-    private static final int ANSWER = 1;
-    private static final int REPLY = 2;
-    private static final int CEILING = 4;
-    private static final int UNSURE = 8;
-    private static final int VIEW = 16;
-    private static final double PER_UNIT = 16; // fixed point of units
-    private static final double PER_STORE = 30_000; // fixed point of a store's filling
-    private static final int WORD = 0xffff;
+    private static final int FLAG_REPLY = 1;
+    private static final int FLAG_REPLY_REQUESTED = 2;
+    private static final int FLAG_CEILING = 4;
+    private static final int FLAG_UNCERTAIN = 8;
+    private static final int FLAG_HAS_FILL_LEVEL = 16;
+    private static final double STEPS_PER_UNIT = 16; // fixed point of units
+    private static final double STEPS_PER_FULL_BUCKET = 30_000; // fixed point of a fill level
+    private static final int SHORT_MASK = 0xffff;
 
     /**
-     * One customer. From a gateway of its set: units used so far and wanted beside, its demand, its view of the
-     * store where it has one. The answer of a keeper: units booked, units granted of what was wanted, the demand of
-     * the others, the store, ceiling units given so far in the receiver's life.
+     * One customer: a query from a gateway of the customer's set to a ledger replica, or the replica's reply.
+     *
+     * @param answer whether this is a reply of a replica; otherwise it is a query
+     * @param reply in a query, whether the replica has to reply
+     * @param ceiling in a query, whether ceiling units are requested too; in a reply, whether the plan has a ceiling
+     * @param unsure in a reply, whether the replica's ledger may be incomplete
+     * @param view in a query, whether it contains the fill level; a reply always does
+     * @param plan number of the plan
+     * @param first number of the first gateway of the customer's set; not sent in a reply, and 0 when read from one
+     * @param spread size of the set; like {@code first}
+     * @param used in a query, units used so far; in a reply, units booked for the receiver
+     * @param want in a query, units requested beyond those used; in a reply, how many of them are granted
+     * @param demand units requested per second: in a query, at the sender; in a reply, at all gateways but the receiver
+     * @param fullness fill level of the customer's token bucket, -1 to 1, as the sender knows it
+     * @param open requests being served: in a query, at the sender; in a reply, at all gateways but the receiver
+     * @param given in a reply, ceiling units granted so far to the receiver's present incarnation
      */
     record Entry(boolean answer, boolean reply, boolean ceiling, boolean unsure, boolean view, long customer, int plan,
             int first, int spread, double used, double want, double demand, double fullness, int open,
             double given) {
-        private int bytes() {
+        /** Length of the encoded entry. */
+        private int encodedBytes() {
             return 17 + (answer ? 0 : 4) + (answer || view ? 2 : 0) + (answer && ceiling ? 4 : 0);
         }
 
         private void put(ByteBuffer b) {
-            b.put((byte) ((answer ? ANSWER : 0) | (reply ? REPLY : 0) | (ceiling ? CEILING : 0)
-                    | (unsure ? UNSURE : 0) | (view ? VIEW : 0)));
+            b.put((byte) ((answer ? FLAG_REPLY : 0) | (reply ? FLAG_REPLY_REQUESTED : 0) | (ceiling ? FLAG_CEILING : 0)
+                    | (unsure ? FLAG_UNCERTAIN : 0) | (view ? FLAG_HAS_FILL_LEVEL : 0)));
             b.put((byte) plan).put((byte) (customer >>> 32)).putInt((int) customer);
             if (!answer) b.putShort((short) first).putShort((short) spread);
-            b.putInt((int) Math.round(used * PER_UNIT)).putShort(word(want * PER_UNIT));
-            b.putShort(word(demand * PER_UNIT)).putShort(word(open));
-            if (answer || view) b.putShort((short) Math.round(Math.max(-1, Math.min(1, fullness)) * PER_STORE));
-            if (answer && ceiling) b.putInt((int) Math.round(given * PER_UNIT));
+            b.putInt((int) Math.round(used * STEPS_PER_UNIT)).putShort(toShort(want * STEPS_PER_UNIT));
+            b.putShort(toShort(demand * STEPS_PER_UNIT)).putShort(toShort(open));
+            if (answer || view) b.putShort((short) Math.round(Math.max(-1, Math.min(1, fullness)) * STEPS_PER_FULL_BUCKET));
+            if (answer && ceiling) b.putInt((int) Math.round(given * STEPS_PER_UNIT));
         }
 
         private static Entry get(ByteBuffer b) {
             int flags = b.get();
-            boolean answer = (flags & ANSWER) != 0;
-            boolean ceiling = (flags & CEILING) != 0;
-            boolean view = (flags & VIEW) != 0;
+            boolean answer = (flags & FLAG_REPLY) != 0;
+            boolean ceiling = (flags & FLAG_CEILING) != 0;
+            boolean view = (flags & FLAG_HAS_FILL_LEVEL) != 0;
             int plan = b.get() & 0xff;
             long customer = (b.get() & 0xffL) << 32 | b.getInt() & 0xffffffffL;
-            int first = answer ? 0 : b.getShort() & WORD;
-            int spread = answer ? 0 : b.getShort() & WORD;
-            double used = b.getInt() / PER_UNIT;
-            double want = (b.getShort() & WORD) / PER_UNIT;
-            double demand = (b.getShort() & WORD) / PER_UNIT;
-            int open = b.getShort() & WORD;
-            double fullness = answer || view ? b.getShort() / PER_STORE : 0;
-            double given = answer && ceiling ? b.getInt() / PER_UNIT : 0;
-            return new Entry(answer, (flags & REPLY) != 0, ceiling, (flags & UNSURE) != 0, view, customer, plan,
+            int first = answer ? 0 : b.getShort() & SHORT_MASK;
+            int spread = answer ? 0 : b.getShort() & SHORT_MASK;
+            double used = b.getInt() / STEPS_PER_UNIT;
+            double want = (b.getShort() & SHORT_MASK) / STEPS_PER_UNIT;
+            double demand = (b.getShort() & SHORT_MASK) / STEPS_PER_UNIT;
+            int open = b.getShort() & SHORT_MASK;
+            double fullness = answer || view ? b.getShort() / STEPS_PER_FULL_BUCKET : 0;
+            double given = answer && ceiling ? b.getInt() / STEPS_PER_UNIT : 0;
+            return new Entry(answer, (flags & FLAG_REPLY_REQUESTED) != 0, ceiling, (flags & FLAG_UNCERTAIN) != 0, view, customer, plan,
                     first, spread, used, want, demand, fullness, open, given);
         }
     }
 
-    /** What running total {@code later} is ahead of {@code earlier}, also where the field has run over between. */
+    /** Units by which running total {@code later} is ahead of {@code earlier}, also across a wrap-around of the field. */
     static double ahead(double later, double earlier) {
-        return ((int) Math.round(later * PER_UNIT) - (int) Math.round(earlier * PER_UNIT)) / PER_UNIT;
+        return ((int) Math.round(later * STEPS_PER_UNIT) - (int) Math.round(earlier * STEPS_PER_UNIT)) / STEPS_PER_UNIT;
     }
 
-    /** Whether count {@code a} comes after {@code b}, also where the field has run over between. */
+    /** Whether serial number {@code a} is later than {@code b}, also across a wrap-around of the field. */
     static boolean after(int a, int b) {
         return (short) (a - b) > 0;
     }
 
-    private static short word(double value) {
-        return (short) Math.max(0, Math.min(WORD, Math.round(value)));
+    /** The value, rounded and clamped to 16 bits. */
+    private static short toShort(double value) {
+        return (short) Math.max(0, Math.min(SHORT_MASK, Math.round(value)));
     }
 
+    /** The encoded message. */
     byte[] bytes() {
-        int size = HEAD_BYTES + entries.stream().mapToInt(Entry::bytes).sum();
+        int size = HEAD_BYTES + entries.stream().mapToInt(Entry::encodedBytes).sum();
         ByteBuffer b = Frame.begin(VERSION, size);
         b.putInt(epoch).putInt(yourEpoch).putShort((short) serial);
         b.putShort((short) yourSerial).put((byte) entries.size());
@@ -89,15 +111,15 @@
         return Frame.end(b);
     }
 
-    /** Null where the message is short, damaged or of another version. */
+    /** The decoded message, or null if the bytes are too short, too long, damaged or of another version. */
     static LedgerMessage read(byte[] data) {
         ByteBuffer b = Frame.open(data, VERSION, HEAD_BYTES, Integer.MAX_VALUE);
         if (b == null) return null;
         try {
             int epoch = b.getInt();
             int yourEpoch = b.getInt();
-            int serial = b.getShort() & WORD;
-            int yourSerial = b.getShort() & WORD;
+            int serial = b.getShort() & SHORT_MASK;
+            int yourSerial = b.getShort() & SHORT_MASK;
             int count = b.get() & 0xff;
             List<Entry> entries = new ArrayList<>(count);
             while (entries.size() < count) entries.add(Entry.get(b));
--- a/gateway/src/main/java/marlford/gateway/guard/AttemptGuard.java
+++ b/gateway/src/main/java/marlford/gateway/guard/AttemptGuard.java
@@ -9,8 +9,8 @@
 import marlford.gateway.EngineApi.RequestClass;
 
 /**
- * The rules on attempts, told apart from the decision module that is to keep them: what it asks for is held against them before
- * anything is sent. Pure.
+ * The rules on attempts, stated independently of the decision engine that has to keep them: each action that the engine
+ * requests is checked against them before anything is sent. Pure.
  */
 public final class AttemptGuard {
     private AttemptGuard() { }
@@ -18,19 +18,19 @@
     /**
      * An earlier attempt of the request.
      *
-     * @param outcome null while it is out
-     * @param sentMs when it began
-     * @param host null where it is on no list any more
+     * @param outcome null while it is in flight
+     * @param startedMs when it began, in milliseconds
+     * @param host null if it is no longer on any list
      */
-    public record Earlier(Outcome outcome, double sentMs, Host host) {
+    public record Earlier(Outcome outcome, double startedMs, Host host) {
         boolean mayHaveRun() {
             return outcome == null || !outcome.neverRan();
         }
     }
 
-    /** The rule that another attempt at this host would break; null for none. */
-    public static Rule brokenByRepeat(double now, RequestClass requestClass, Limits limits, List<Earlier> before, Host to) {
-        for (Earlier earlier : before) {
+    /** The rule that another attempt at this host would break; null if it breaks none. */
+    public static Rule brokenByRepeat(double now, RequestClass requestClass, Limits limits, List<Earlier> earlierAttempts, Host to) {
+        for (Earlier earlier : earlierAttempts) {
             if (earlier.outcome() == null && !limits.duplicates()) {
                 return Rule.SECOND_COPY;
             }
@@ -44,13 +44,14 @@
         return null;
     }
 
+    /** Whether the host recognizes the idempotency key of the earlier attempt, and so does not run the request again. */
     private static boolean dropsRepeat(double now, RequestClass requestClass, Earlier earlier, Host to) {
-        boolean remembers = now - earlier.sentMs() < requestClass.windowMs();
-        return remembers && (earlier.host() == null || to == null || requestClass.scope().together(earlier.host(), to));
+        boolean withinKeyWindow = now - earlier.startedMs() < requestClass.windowMs();
+        return withinKeyWindow && (earlier.host() == null || to == null || requestClass.scope().together(earlier.host(), to));
     }
 
-    /** Whether nothing new may go to a host any more. */
-    public static boolean isDrained(double now, HostState state, double toldMs, double graceMs) {
-        return state != HostState.RUNNING && now - toldMs > graceMs;
+    /** Whether the drain grace of a host is over, so that no new attempt may be sent to it; times in milliseconds. */
+    public static boolean isDrained(double now, HostState state, double stateSinceMs, double graceMs) {
+        return state != HostState.RUNNING && now - stateSinceMs > graceMs;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/guard/ClientProgress.java
+++ b/gateway/src/main/java/marlford/gateway/guard/ClientProgress.java
@@ -1,95 +1,99 @@
 package marlford.gateway.guard;
 
 /**
- * Judges whether a client has stopped: at any time its connection waits either for the client or for this gateway, and where it
- * waits for the client a limit runs, whatever else goes on. All limits lie below {@link #OWED_MS} by what the look at connections
- * and a late loop take.
+ * Decides whether a client has stalled. At any time a connection waits either for its client or for this gateway; while it waits
+ * for the client a time limit applies, whatever else happens. All limits on a time without progress, except the one for a single
+ * unread answer, are below {@link #OWED_MS} by the time that the periodic check of connections and a delayed event loop may add.
  *
  * <p>Pure: no clock and no I/O. Times are milliseconds on the caller's clock.
  */
 public final class ClientProgress {
-    /** A client that stops gets an error or a close within this time. */
+    /** A stalled client gets an error or a close within this time. */
     public static final double OWED_MS = 3000;
 
-    private static final double FIRST_REQUEST_MS = 2000; // from the connection's start
-    private static final double HEAD_MS = 2500; // from its first byte; a client may take 2000
-    private static final double BODY_PAUSE_MS = 2500; // between two pieces of a body
-    private static final double RESUMED_MS = 1000; // for the next piece, once reading has gone on after a pause
-    /** A client that waited for this gateway counts as having waited for so long, which leaves it {@link #RESUMED_MS}. */
-    public static final double WAITED_MS = BODY_PAUSE_MS - RESUMED_MS;
-    private static final double BODY_GRACE_MS = 3500; // of a request, before its mean speed counts
-    private static final double BODY_BYTES_PER_MS = 16; // on the mean
-    private static final double OUTPUT_MS = 2500; // answers not taken, with more of the client's input behind them
-    private static final double LONG_OUTPUT_MS = 5000; // one answer not taken, and nothing behind it
+    private static final double FIRST_REQUEST_TIMEOUT_MS = 2000; // from the connection's start
+    private static final double HEAD_TIMEOUT_MS = 2500; // from its first byte; a client may take 2000
+    private static final double BODY_PAUSE_TIMEOUT_MS = 2500; // between two parts of a body
+    private static final double RESUMED_READ_TIMEOUT_MS = 1000; // for the next part, once reading has resumed after a pause
+    /**
+     * Time without progress that is charged to a client which was waiting for this gateway; it leaves
+     * {@link #RESUMED_READ_TIMEOUT_MS} of the limit.
+     */
+    public static final double WAITED_MS = BODY_PAUSE_TIMEOUT_MS - RESUMED_READ_TIMEOUT_MS;
+    private static final double BODY_RATE_GRACE_MS = 3500; // from the request's start, before its mean rate is checked
+    private static final double MIN_BODY_BYTES_PER_MS = 16; // mean rate
+    private static final double OUTPUT_TIMEOUT_MS = 2500; // for unread answers with more input of the client behind them
+    private static final double LAST_OUTPUT_TIMEOUT_MS = 5000; // for one unread answer with no input behind it
 
     private ClientProgress() { }
 
-    /** The part of a request that is coming. */
+    /** The part of a request that is being received. */
     public enum Part { NONE, HEAD, BODY }
 
     /**
-     * What has come of a client's input.
+     * What has been received of a client's input.
      *
-     * @param part that is unfinished
-     * @param sinceMs when the unfinished request began to come
-     * @param readMs when something of it last came
-     * @param unseenMs for how long that may have stood unread in its socket before
-     * @param bodyBytes of it that came
-     * @param drained all that has reached this machine was read: what is missing the client has not sent
+     * @param part the unfinished part
+     * @param sinceMs when the first byte of the unfinished request was received
+     * @param readMs when something of it was last received
+     * @param unreadMs how long that may have been unread in its socket before
+     * @param bodyBytes bytes of its body received so far
+     * @param drained whether everything that has reached this machine was read, so that the client has not sent what is missing
      */
-    public record Input(Part part, double sinceMs, double readMs, double unseenMs, long bodyBytes, boolean drained) { }
+    public record Input(Part part, double sinceMs, double readMs, double unreadMs, long bodyBytes, boolean drained) { }
 
     /**
      * What a connection waits for.
      *
-     * @param openedMs when the connection was made
-     * @param used a request came on it before
-     * @param input of the client
-     * @param queued whole requests, or unread input, stand behind what is being answered
-     * @param answerDue this gateway owes the answer to a request that has come whole
-     * @param ended the last answer was given
-     * @param unsent output has not left this process
-     * @param outputMs when output last left, or began to wait
+     * @param openedMs when the connection was opened
+     * @param hadRequest whether a whole request was received on it before
+     * @param input what has been received of the client's input
+     * @param queued whether whole requests or unread input are queued behind the one being answered
+     * @param answerDue whether a request has been received whole and its answer is pending
+     * @param finished whether the last answer was given
+     * @param outputPending whether output has not left this process
+     * @param outputProgressMs when output last left, or began to wait
      */
-    public record Connection(double openedMs, boolean used, Input input, boolean queued, boolean answerDue, boolean ended,
-            boolean unsent, double outputMs) { }
+    public record Connection(double openedMs, boolean hadRequest, Input input, boolean queued, boolean answerDue, boolean finished,
+            boolean outputPending, double outputProgressMs) { }
 
-    /** What a client has not done in its time. */
+    /** Where a client has stalled: not at all, before its first request, while sending a request, or while reading answers. */
     public enum Stopped { NO, BEFORE_FIRST_REQUEST, IN_REQUEST, READING }
 
-    /** Whether the client has stopped for longer than it may. */
+    /** Whether the client has been stalled for longer than the limit, and where. */
     public static Stopped judge(double now, Connection c) {
-        if (c.unsent() && now - c.outputMs() > outputLimit(c)) {
+        if (c.outputPending() && now - c.outputProgressMs() > outputTimeoutMs(c)) {
             return Stopped.READING;
         }
-        if (c.ended() || c.answerDue() || c.queued() || !c.input().drained()) {
+        if (c.finished() || c.answerDue() || c.queued() || !c.input().drained()) {
             return Stopped.NO;
         }
         if (c.input().part() == Part.NONE) {
-            return !c.used() && now - c.openedMs() > FIRST_REQUEST_MS ? Stopped.BEFORE_FIRST_REQUEST : Stopped.NO;
+            return !c.hadRequest() && now - c.openedMs() > FIRST_REQUEST_TIMEOUT_MS ? Stopped.BEFORE_FIRST_REQUEST : Stopped.NO;
         }
         return isLate(now, c.input()) ? Stopped.IN_REQUEST : Stopped.NO;
     }
 
-    private static double outputLimit(Connection c) {
-        boolean more = c.queued() || c.ended() || c.input().part() != Part.NONE;
-        return more ? OUTPUT_MS : LONG_OUTPUT_MS;
+    private static double outputTimeoutMs(Connection c) {
+        boolean more = c.queued() || c.finished() || c.input().part() != Part.NONE;
+        return more ? OUTPUT_TIMEOUT_MS : LAST_OUTPUT_TIMEOUT_MS;
     }
 
     private static boolean isLate(double now, Input input) {
-        double began = now - input.sinceMs();
+        double sinceStart = now - input.sinceMs();
         if (input.part() == Part.HEAD) {
-            return began > HEAD_MS;
+            return sinceStart > HEAD_TIMEOUT_MS;
         }
         double pause = now - input.readMs();
-        boolean unseen = pause > RESUMED_MS && pause + input.unseenMs() > BODY_PAUSE_MS;
-        return pause > BODY_PAUSE_MS || unseen || began > BODY_GRACE_MS + input.bodyBytes() / BODY_BYTES_PER_MS;
+        boolean lateIncludingUnread = pause > RESUMED_READ_TIMEOUT_MS && pause + input.unreadMs() > BODY_PAUSE_TIMEOUT_MS;
+        return pause > BODY_PAUSE_TIMEOUT_MS || lateIncludingUnread
+                || sinceStart > BODY_RATE_GRACE_MS + input.bodyBytes() / MIN_BODY_BYTES_PER_MS;
     }
 
-    /** How long a client that is judged to have stopped has done nothing; to be below {@link #OWED_MS}. */
+    /** How long a stalled client has made no progress, in milliseconds; should be below {@link #OWED_MS}. */
     public static double stoppedMs(double now, Stopped how, Connection c) {
         if (how == Stopped.READING) {
-            return now - c.outputMs();
+            return now - c.outputProgressMs();
         }
         if (how == Stopped.BEFORE_FIRST_REQUEST) {
             return now - c.openedMs();
--- a/gateway/src/main/java/marlford/gateway/guard/Rule.java
+++ b/gateway/src/main/java/marlford/gateway/guard/Rule.java
@@ -1,27 +1,27 @@
 package marlford.gateway.guard;
 
-/** What is never to happen. The names stand in the log, in lower case. */
+/** Invariants that the gateway must never break; each constant names a breach. The log has the names in lower case. */
 public enum Rule {
-    /** A client that had stopped was left without an end for longer than it is owed. */
+    /** A stalled client was left without an error or a close for longer than the limit. */
     CLIENT_LEFT_OPEN,
-    /** A connection was closed on a request that had come whole, by this gateway's choice. */
+    /** This gateway chose to close a connection with an unanswered request that had been received whole. */
     CLOSED_UNANSWERED,
-    /** A final answer was given more than half a second after its time. */
+    /** A final answer was sent more than half a second after its deadline. */
     ANSWERED_LATE,
-    /** An attempt left for a request that was answered. */
+    /** An attempt was sent for a request that was already answered. */
     SENT_AFTER_ANSWER,
-    /** An attempt left after its client's time. */
+    /** An attempt was sent after its client's deadline. */
     SENT_AFTER_DEADLINE,
-    /** An attempt left more than 0.1 s after its client was seen to leave. */
+    /** An attempt was sent more than 0.1 s after its client was seen to disconnect. */
     SENT_FOR_LEFT_CLIENT,
-    /** An attempt left for a host after the grace that it had since it was told to be draining or gone. */
+    /** An attempt was sent to a host after its drain grace, which begins when the host is reported as draining or gone. */
     SENT_TO_DRAINING,
-    /** A request that may have run, and is not to run twice, was to be sent again. */
+    /** A request that may have run, and must not run twice, was about to be sent again. */
     REPEATED_UNSAFE,
-    /** A keyed request that may have run was to go to a host that does not drop its repeat, or no longer does. */
+    /** A keyed request that may have run was about to be sent to a host that does not, or no longer, drop its repeat. */
     REPEATED_ELSEWHERE,
-    /** A second copy was to go out where settings allow none. */
+    /** A second copy was about to be sent although the settings allow none. */
     SECOND_COPY,
-    /** Clients were let in by a process that was told to end. */
+    /** A process that had been told to end accepted clients. */
     LISTENED_WHILE_ENDING
 }
--- a/gateway/src/main/java/marlford/gateway/guard/RuleCounter.java
+++ b/gateway/src/main/java/marlford/gateway/guard/RuleCounter.java
@@ -2,28 +2,32 @@
 
 import java.util.Locale;
 
-/** Counts what was never to happen, from the process's start. For one thread. */
+/** Counts breaches of the {@link Rule}s since the process started. Not thread-safe. */
 public final class RuleCounter {
-    private final int[] broken = new int[Rule.values().length];
+    private final int[] breaches = new int[Rule.values().length];
 
-    /** Counts once. */
+    /** Adds one breach of the rule. */
     public void broken(Rule rule) {
-        broken[rule.ordinal()]++;
+        breaches[rule.ordinal()]++;
     }
 
-    /** How often since the start. */
+    /** The number of breaches of the rule. */
     public int count(Rule rule) {
-        return broken[rule.ordinal()];
+        return breaches[rule.ordinal()];
     }
 
-    /** @param stoppedMs for how long a client had done nothing when its connection was ended for it */
+    /**
+     * Counts a breach if the connection of a stalled client was ended too late.
+     *
+     * @param stoppedMs how long the client had made no progress when its connection was ended, in milliseconds
+     */
     public void clientEnded(double stoppedMs) {
         if (stoppedMs > ClientProgress.OWED_MS) {
             broken(Rule.CLIENT_LEFT_OPEN);
         }
     }
 
-    /** {@code  broken_rule=count} for all that is not 0. */
+    /** {@code  broken_rule=count} for each rule with a breach, each with a leading blank. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Rule rule : Rule.values()) {
--- a/gateway/src/main/java/marlford/gateway/guard/package-info.java
+++ b/gateway/src/main/java/marlford/gateway/guard/package-info.java
@@ -1,2 +1,2 @@
-/** What no part of the gateway may do, checked in one place and counted while it runs. Pure: no clock, no I/O. */
+/** Invariants of the gateway, checked in one place and counted while it runs. Pure: no clock, no I/O. */
 package marlford.gateway.guard;
--- a/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
+++ b/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
@@ -5,53 +5,54 @@
 import marlford.gateway.quota.QuotaCoordinator;
 
 /**
- * What one gateway did since it was last asked, by cause: the line that it logs every second, so that a fleet's logs can
- * be added up by second. Pure. Bound: one number for each {@link Item}. Not thread-safe; it belongs to one event loop.
+ * Counts what one gateway has done since the counters were last taken, by cause. The result is the line that the gateway logs
+ * every second, so that the logs of a fleet can be summed up second by second. Pure. Memory: one number for each {@link Item}.
+ * Not thread-safe: used on one event loop only.
  */
 public final class ActivityCounters {
-    /** What is counted. */
+    /** What is counted; the lower-case names are the counter names in the log. */
     public enum Item {
-        /** Requests of clients, their retries too. */
+        /** Requests of clients, including their retries. */
         TRIES,
-        /** Refused: the customer's whole store is empty, as far as this gateway knows. */
+        /** Requests refused since the customer's token bucket for the whole tier is empty, as far as this gateway knows. */
         QUOTA,
-        /** Refused: this gateway's part of the store is spent, and what is left of the rest may be on its way. */
+        /** Requests refused since this gateway's part of the bucket is spent, and units left in the rest may be in transit. */
         PART,
-        /** Refused: this gateway's share of the customer's ceiling is spent. */
+        /** Requests refused since this gateway's share of the customer's ceiling is spent. */
         CEILING,
-        /** Refused by a keeper (among few gateways), or since none answered. */
+        /** Requests refused by a ledger replica (in a small tier), or since no replica answered. */
         KEEPER,
-        /** Refused: what was read had stood in the socket for too long. */
+        /** Requests refused since they had been in the socket for too long before they were read. */
         READ_LATE,
-        /** Refused: its wait for a place at a host would be too long, or was. */
+        /** Requests refused since their wait for a concurrency slot at a host would be too long, or was. */
         NO_PLACE,
-        /** Refused or failed after an attempt that did not serve it. */
+        /** Requests refused or failed after an attempt that did not serve them. */
         TRIED,
         /** Attempts sent. */
         SENT,
-        /** Of these, to hosts that are not warm yet. */
+        /** Attempts sent to hosts that are not warm yet; also counted in SENT. */
         TO_COLD,
         /** Attempts that a host answered. */
         OK,
-        /** Attempts that a host turned away. */
+        /** Attempts that a host rejected as overloaded. */
         FULL,
-        /** Attempts without a connection. */
+        /** Attempts for which no connection could be made, or that were not sent. */
         UNREACHED,
-        /** Attempts ended by their time, or given up. */
+        /** Attempts that timed out or were cancelled. */
         SILENT,
-        /** Attempts that ended otherwise. */
+        /** Attempts that ended in any other way. */
         BROKEN,
-        /** Messages to peers; one to all counts once. */
+        /** Messages sent to peers; a message to all peers counts once. */
         TOLD,
-        /** Messages of peers. */
+        /** Messages received from peers. */
         HEARD;
 
-        /** Why a request was not let in where keepers are asked. */
+        /** The item for a request that was refused while ledger replicas are queried. */
         public static Item of(QuotaCoordinator.Why why) {
             return why == QuotaCoordinator.Why.STORE ? QUOTA : why == QuotaCoordinator.Why.CEILING ? CEILING : KEEPER;
         }
 
-        /** How an attempt ended. */
+        /** The item for the outcome of an attempt. */
         public static Item of(Outcome outcome) {
             return switch (outcome) {
                 case OK -> OK;
@@ -65,11 +66,12 @@
 
     private final int[] counts = new int[Item.values().length];
 
+    /** Adds one to the item. */
     public void note(Item item) {
         counts[item.ordinal()]++;
     }
 
-    /** {@code name=count} for all that is not nought, in order; the counts begin anew. */
+    /** {@code name=count} for each item that is not zero, in the order of the items; resets all counts to zero. */
     public String take() {
         StringBuilder line = new StringBuilder();
         for (Item item : Item.values()) {
--- a/gateway/src/test/java/marlford/gateway/HostStartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/HostStartsTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** However wrong the wall clock, no host is taken to have started before it did. */
+/** No host is taken to have started earlier than it did, however wrong the wall clock is. */
 class HostStartsTest {
     private static final double NOW = 1e9; // true time
     private static final double WARM_MS = 10_000;
 
-    private static void tell(HostStarts starts, ListKind kind, double... startedMs) {
+    private static void receiveList(HostStarts starts, ListKind kind, double... startedMs) {
         List<Host> hosts = Stream.iterate(0, i -> i < startedMs.length, i -> i + 1)
                 .map(i -> new Host("h" + i, "a", "std", 0, HostState.RUNNING, 1, startedMs[i])).toList();
         starts.telling(hosts);
@@ -25,20 +25,20 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {-3_600_000, -3000, 0, 3000, 3_600_000})
-    void aStartThatIsSeenCountsFromThenWhateverTheClockSays(double errorMs) {
+    void startReportedLaterCountsFromItsReport(double errorMs) {
         HostStarts starts = new HostStarts(WARM_MS);
-        tell(starts, ListKind.FULL, 0);
+        receiveList(starts, ListKind.FULL, 0);
         assertEquals(NOW + errorMs, starts.latestStart(NOW + errorMs, NOW - 500));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-3_600_000, -3000, 0, 3000, 3_600_000})
-    void theFirstListTellsHowFarStartsAreApart(double errorMs) {
+    void firstListGivesOnlyTheDifferencesBetweenStarts(double errorMs) {
         for (ListKind kind : List.of(ListKind.CACHED, ListKind.FULL, ListKind.CHANGES)) {
             HostStarts starts = new HostStarts(WARM_MS);
             double youngest = NOW - 300;
             double older = youngest - 4000;
-            tell(starts, ListKind.CACHED, older, youngest, 0);
+            receiveList(starts, ListKind.CACHED, older, youngest, 0);
             double clock = NOW + errorMs;
             assertEquals(clock, starts.latestStart(clock, youngest));
             assertEquals(clock - 4000, starts.latestStart(clock, older));
--- a/gateway/src/test/java/marlford/gateway/guard/AttemptGuardTest.java
+++ b/gateway/src/test/java/marlford/gateway/guard/AttemptGuardTest.java
@@ -18,54 +18,55 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What the rules say of a further attempt, whoever asks for it. */
+/** Which further attempts the rules forbid. */
 class AttemptGuardTest {
-    private static final double WINDOW_MS = 1000;
-    private static final Host HERE = host("h0", "a");
-    private static final Host BESIDE = host("h1", "a");
-    private static final Host ELSEWHERE = host("h2", "b");
+    private static final double KEY_WINDOW_MS = 1000;
+    private static final Host FIRST_HOST = host("h0", "a");
+    private static final Host SAME_ZONE_HOST = host("h1", "a");
+    private static final Host OTHER_ZONE_HOST = host("h2", "b");
 
     private static Host host(String id, String zone) {
         return new Host(id, zone, "k", 0, HostState.RUNNING, 1, 0);
     }
 
-    private static RequestClass of(Effect effect) {
-        return new RequestClass("c", effect, Scope.ZONE, WINDOW_MS, 100, 1000, 1, 0, false);
+    private static RequestClass requestClass(Effect effect) {
+        return new RequestClass("c", effect, Scope.ZONE, KEY_WINDOW_MS, 100, 1000, 1, 0, false);
     }
 
     private static Limits limits(boolean duplicates) {
         return new Limits(3, duplicates, true, false, false, false, 0);
     }
 
-    private static Rule broken(Effect effect, Outcome first, double now, Host to) {
-        return AttemptGuard.brokenByRepeat(now, of(effect), limits(true), List.of(new Earlier(first, 0, HERE)), to);
+    private static Rule ruleBroken(Effect effect, Outcome first, double now, Host to) {
+        return AttemptGuard.brokenByRepeat(now, requestClass(effect), limits(true), List.of(new Earlier(first, 0, FIRST_HOST)), to);
     }
 
     @ParameterizedTest
     @EnumSource(value = Outcome.class)
-    void anUnsafeRequestIsRepeatedOnlyWhereItNeverRan(Outcome first) {
-        assertEquals(first.neverRan() ? null : Rule.REPEATED_UNSAFE, broken(Effect.ONCE, first, 1, HERE));
-        assertEquals(Rule.REPEATED_UNSAFE, broken(Effect.ONCE, null, 1, HERE));
-        assertNull(broken(Effect.REPEATABLE, first, 1, ELSEWHERE));
+    void unsafeRequestIsRepeatedOnlyIfItNeverRan(Outcome first) {
+        assertEquals(first.neverRan() ? null : Rule.REPEATED_UNSAFE, ruleBroken(Effect.ONCE, first, 1, FIRST_HOST));
+        assertEquals(Rule.REPEATED_UNSAFE, ruleBroken(Effect.ONCE, null, 1, FIRST_HOST));
+        assertNull(ruleBroken(Effect.REPEATABLE, first, 1, OTHER_ZONE_HOST));
     }
 
     @Test
-    void aKeyedOneGoesToHostsThatDropItsRepeatWhileTheyRemember() {
-        assertNull(broken(Effect.KEYED, Outcome.RESET, WINDOW_MS - 1, BESIDE));
-        assertEquals(Rule.REPEATED_ELSEWHERE, broken(Effect.KEYED, Outcome.RESET, WINDOW_MS, BESIDE));
-        assertEquals(Rule.REPEATED_ELSEWHERE, broken(Effect.KEYED, Outcome.RESET, 1, ELSEWHERE));
-        assertNull(broken(Effect.KEYED, Outcome.CONNECT_FAILED, 1, ELSEWHERE));
+    void keyedRequestIsRepeatedOnlyAtHostsThatStillKnowItsKey() {
+        assertNull(ruleBroken(Effect.KEYED, Outcome.RESET, KEY_WINDOW_MS - 1, SAME_ZONE_HOST));
+        assertEquals(Rule.REPEATED_ELSEWHERE, ruleBroken(Effect.KEYED, Outcome.RESET, KEY_WINDOW_MS, SAME_ZONE_HOST));
+        assertEquals(Rule.REPEATED_ELSEWHERE, ruleBroken(Effect.KEYED, Outcome.RESET, 1, OTHER_ZONE_HOST));
+        assertNull(ruleBroken(Effect.KEYED, Outcome.CONNECT_FAILED, 1, OTHER_ZONE_HOST));
     }
 
     @Test
-    void noSecondCopyWhereSettingsAllowNone() {
-        List<Earlier> out = List.of(new Earlier(null, 0, HERE));
-        assertEquals(Rule.SECOND_COPY, AttemptGuard.brokenByRepeat(1, of(Effect.REPEATABLE), limits(false), out, BESIDE));
-        assertNull(AttemptGuard.brokenByRepeat(1, of(Effect.REPEATABLE), limits(true), out, BESIDE));
+    void secondCopyNeedsThePermissionOfTheSettings() {
+        List<Earlier> inFlight = List.of(new Earlier(null, 0, FIRST_HOST));
+        assertEquals(Rule.SECOND_COPY,
+                AttemptGuard.brokenByRepeat(1, requestClass(Effect.REPEATABLE), limits(false), inFlight, SAME_ZONE_HOST));
+        assertNull(AttemptGuard.brokenByRepeat(1, requestClass(Effect.REPEATABLE), limits(true), inFlight, SAME_ZONE_HOST));
     }
 
     @Test
-    void aDrainHasItsGrace() {
+    void drainGraceAllowsFurtherAttempts() {
         assertFalse(AttemptGuard.isDrained(2000, HostState.DRAINING, 0, 2000));
         assertTrue(AttemptGuard.isDrained(2001, HostState.DRAINING, 0, 2000));
         assertFalse(AttemptGuard.isDrained(9000, HostState.RUNNING, 0, 2000));
--- a/gateway/src/test/java/marlford/gateway/metrics/ActivityCountersTest.java
+++ b/gateway/src/test/java/marlford/gateway/metrics/ActivityCountersTest.java
@@ -6,12 +6,12 @@
 
 class ActivityCountersTest {
     @Test
-    void whatIsTakenBeginsAnewAndNoughtIsLeftOut() {
-        ActivityCounters account = new ActivityCounters();
-        account.note(ActivityCounters.Item.SENT);
-        account.note(ActivityCounters.Item.TRIES);
-        account.note(ActivityCounters.Item.TRIES);
-        assertEquals("tries=2 sent=1", account.take());
-        assertEquals("", account.take());
+    void takingResetsTheCountsAndOmitsZeros() {
+        ActivityCounters counters = new ActivityCounters();
+        counters.note(ActivityCounters.Item.SENT);
+        counters.note(ActivityCounters.Item.TRIES);
+        counters.note(ActivityCounters.Item.TRIES);
+        assertEquals("tries=2 sent=1", counters.take());
+        assertEquals("", counters.take());
     }
 }
