--- a/gateway/src/main/java/marlford/gateway/accept/AcceptRetry.java
+++ b/gateway/src/main/java/marlford/gateway/accept/AcceptRetry.java
@@ -8,42 +8,43 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Goes on accepting after a failed accept. Without it netty's bootstrap accepts nothing for a second. The first failure in a row
- * costs only that call; further ones are followed by a pause that doubles up to {@value #LONGEST_MS} ms, as the system tells of
- * waiting connections without end. One for each listener, set as its bootstrap's handler; on the listener's event loop.
+ * Keeps a listener accepting after a failed accept; without it Netty's bootstrap stops accepting for a second. The first failure
+ * in a row has no further effect. Each further one is followed by a pause that doubles up to {@value #MAX_PAUSE_MS} ms, since the
+ * system reports the same waiting connections again and again. One instance for each listener, set as its bootstrap's handler;
+ * used on the listener's event loop.
  */
 public final class AcceptRetry extends ChannelInboundHandlerAdapter {
-    private static final long SHORTEST_MS = 4;
-    static final long LONGEST_MS = 50;
-    private static final String NO_DESCRIPTOR = "Too many open files"; // of the process, or of the system
+    private static final long FIRST_PAUSE_MS = 4;
+    static final long MAX_PAUSE_MS = 50;
+    private static final String NO_DESCRIPTOR_MESSAGE = "Too many open files"; // in the process, or in the whole system
 
-    private static final long LOG_EVERY_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final int AT_ONCE = 16; // netty's own bound for one reading of a listener
-    private static final double NONE = -1;
+    private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final int MAX_ACCEPTS_PER_READ = 16; // Netty's own limit for one read loop of a listener
+    private static final double NO_BACKLOG = -1;
 
-    private final Backoff backoff = new Backoff(SHORTEST_MS, LONGEST_MS);
+    private final Backoff backoff = new Backoff(FIRST_PAUSE_MS, MAX_PAUSE_MS);
     private final Consumer<String> log;
     private final Runnable makeRoom;
     private final DoubleSupplier clock;
-    private int inReading; // connections that this reading has brought
-    private double readingMs; // when it began
-    private double backlogMs = NONE; // since when each reading left some behind
-    private long calls; // accepts that came to something, and failures
+    private int acceptedInRead; // connections accepted in the current read loop
+    private double readStartMs; // when that loop accepted its first connection
+    private double backlogSinceMs = NO_BACKLOG; // since when each read loop may have left connections behind
+    private long acceptCalls; // connections accepted, and failures
     private int failures; // in a row
-    private boolean logged; // ever
-    private long loggedNanos; // the last time
-    private int unlogged; // failures since then
+    private boolean everLogged;
+    private long lastLogNanos;
+    private int unloggedFailures; // since the last log line
     private boolean paused;
 
-    /** For a listener nobody asks for how long connections waited, and that has no room to make. */
+    /** For a listener whose connections' waiting time is not needed, and which has no descriptors to release. */
     public AcceptRetry(Consumer<String> log) {
         this(log, () -> { }, () -> 0);
     }
 
     /**
-     * @param log takes one line a second at most while accepts fail
-     * @param makeRoom runs where no descriptor was left
-     * @param clock in milliseconds
+     * @param log receives one line per second at most while accepts fail
+     * @param makeRoom runs when no file descriptor was left
+     * @param clock current time in milliseconds
      */
     public AcceptRetry(Consumer<String> log, Runnable makeRoom, DoubleSupplier clock) {
         this.clock = clock;
@@ -51,42 +52,42 @@
         this.makeRoom = makeRoom;
     }
 
-    /** Connections that were accepted, and failures, since the listener was opened. */
+    /** The number of accepted connections and failures since the listener was opened. */
     public long calls() {
-        return calls;
+        return acceptCalls;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-        calls++;
+        acceptCalls++;
         failures = 0;
         backoff.reset();
-        readingMs = inReading++ == 0 ? clock.getAsDouble() : readingMs;
+        readStartMs = acceptedInRead++ == 0 ? clock.getAsDouble() : readStartMs;
         ctx.fireChannelRead(accepted);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (inReading < AT_ONCE && !paused) {
-            backlogMs = NONE;
-        } else if (backlogMs == NONE) {
-            backlogMs = inReading == 0 ? clock.getAsDouble() : readingMs;
+        if (acceptedInRead < MAX_ACCEPTS_PER_READ && !paused) {
+            backlogSinceMs = NO_BACKLOG;
+        } else if (backlogSinceMs == NO_BACKLOG) {
+            backlogSinceMs = acceptedInRead == 0 ? clock.getAsDouble() : readStartMs;
         }
-        inReading = 0;
+        acceptedInRead = 0;
         ctx.fireChannelReadComplete();
     }
 
-    /** For how long a connection that is being accepted may have waited behind others. */
+    /** Upper limit of the time that a connection being accepted now has waited behind others, in milliseconds. */
     public double waitedMs() {
-        return backlogMs == NONE ? 0 : clock.getAsDouble() - backlogMs;
+        return backlogSinceMs == NO_BACKLOG ? 0 : clock.getAsDouble() - backlogSinceMs;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        calls++;
+        acceptCalls++;
         failures++;
-        logSeldom(cause);
-        if (String.valueOf(cause.getMessage()).contains(NO_DESCRIPTOR)) {
+        logRateLimited(cause);
+        if (String.valueOf(cause.getMessage()).contains(NO_DESCRIPTOR_MESSAGE)) {
             makeRoom.run();
         }
         if (failures > 1 && !paused) {
@@ -94,22 +95,23 @@
         }
     }
 
-    /** One line a second however many fail, or logging them would cost more than accepting. */
-    private void logSeldom(Throwable cause) {
-        unlogged++;
+    /** Logs one line per second at most, since logging every failure would cost more than accepting. */
+    private void logRateLimited(Throwable cause) {
+        unloggedFailures++;
         long now = System.nanoTime();
-        if (logged && now - loggedNanos < LOG_EVERY_NANOS) {
+        if (everLogged && now - lastLogNanos < LOG_INTERVAL_NANOS) {
             return;
         }
-        log.accept("accept failed, and is tried again: " + cause.getMessage() + " (" + unlogged + " since the last such line)");
-        unlogged = 0;
-        logged = true;
-        loggedNanos = now;
+        log.accept("accepting a connection failed, will retry; check the limit of open files and the system's memory: "
+                + cause.getMessage() + " (" + unloggedFailures + " failures since the last such line)");
+        unloggedFailures = 0;
+        everLogged = true;
+        lastLogNanos = now;
     }
 
     private void pause(Channel listener) {
         paused = true;
-        backlogMs = backlogMs == NONE ? clock.getAsDouble() : backlogMs;
+        backlogSinceMs = backlogSinceMs == NO_BACKLOG ? clock.getAsDouble() : backlogSinceMs;
         listener.config().setAutoRead(false);
         listener.eventLoop().schedule(() -> {
             paused = false;
--- a/gateway/src/main/java/marlford/gateway/accept/Backoff.java
+++ b/gateway/src/main/java/marlford/gateway/accept/Backoff.java
@@ -1,16 +1,16 @@
 package marlford.gateway.accept;
 
-/** Pauses between tries of something that fails: each is twice the one before, up to a longest. Not thread-safe. */
+/** Exponential backoff: each pause between failed tries is twice the one before, up to a limit. Not thread-safe. */
 public final class Backoff {
-    private static final int MOST_DOUBLINGS = 20;
+    private static final int MAX_DOUBLINGS = 20;
 
     private final long shortestMs;
     private final long longestMs;
-    private int failures;
+    private int doublings;
 
     /**
      * @param shortestMs the first pause, in milliseconds; above 0
-     * @param longestMs no pause is longer
+     * @param longestMs upper limit of a pause, in milliseconds
      */
     public Backoff(long shortestMs, long longestMs) {
         this.shortestMs = shortestMs;
@@ -19,13 +19,13 @@
 
     /** The pause after one more failure, in milliseconds. */
     public long nextMs() {
-        long pause = Math.min(longestMs, shortestMs << failures);
-        failures = Math.min(MOST_DOUBLINGS, failures + 1);
+        long pause = Math.min(longestMs, shortestMs << doublings);
+        doublings = Math.min(MAX_DOUBLINGS, doublings + 1);
         return pause;
     }
 
-    /** A try came to something: the next pause is the first again. */
+    /** Starts again with the shortest pause, after a try that succeeded. */
     public void reset() {
-        failures = 0;
+        doublings = 0;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/accept/package-info.java
+++ b/gateway/src/main/java/marlford/gateway/accept/package-info.java
@@ -1,2 +1,2 @@
-/** Listeners that go on accepting whatever one accept came to. */
+/** Listeners that continue to accept connections after a failed accept. */
 package marlford.gateway.accept;
--- a/gateway/src/main/java/marlford/gateway/shutdown/LingeringClose.java
+++ b/gateway/src/main/java/marlford/gateway/shutdown/LingeringClose.java
@@ -1,35 +1,35 @@
 package marlford.gateway.shutdown;
 
 /**
- * How long a connection of a client is read on once its last answer has left and its sending is ended (RFC 9112, 9.6): until
- * the client ends it, or a time or a number of bytes is over. A client that heeds the answer ends it within one way there
- * and back.
+ * Decides how long a client's connection is still read after its last answer was sent and the sending side closed (RFC 9112,
+ * 9.6): until the client closes it, or a limit of time or bytes is reached. A client that respects the answer closes it within
+ * one round trip.
  *
- * <p>Pure: no clock and no I/O. Not thread-safe; it belongs to one event loop. The bounds are of a client that does not
- * stop, and of no deployment.
+ * <p>Pure: no clock and no I/O. Not thread-safe: used on one event loop only. The limits are for a client that keeps sending,
+ * and do not depend on a deployment.
  */
 public final class LingeringClose {
-    /** Far beyond the 200 ms of the longest way there and back; a lost packet or two is sent again by then. */
-    static final double LONGEST_MS = 2000;
-    /** More than a socket and the way hold unread; who sends on beyond that does not listen. */
-    static final long MOST_BYTES = 1 << 20;
+    /** Far beyond the longest round trip of 200 ms; leaves time to retransmit a lost packet or two. */
+    static final double MAX_LINGER_MS = 2000;
+    /** More than the socket and the network can hold unread; a client that sends more does not react to the answer. */
+    static final long MAX_DISCARDED_BYTES = 1 << 20;
 
-    private final double endsAt;
-    private long bytes;
+    private final double deadlineMs;
+    private long discardedBytes;
 
-    /** @param now milliseconds on the caller's clock, at which the sending was ended */
+    /** @param now when the sending side was closed, in milliseconds on the caller's clock */
     public LingeringClose(double now) {
-        this.endsAt = now + LONGEST_MS;
+        this.deadlineMs = now + MAX_LINGER_MS;
     }
 
-    /** So many bytes were read and forgotten; whether it is read on. */
-    public boolean read(int more) {
-        bytes += more;
-        return bytes <= MOST_BYTES;
+    /** Records bytes that were read and discarded; returns whether reading may continue. */
+    public boolean read(int bytes) {
+        discardedBytes += bytes;
+        return discardedBytes <= MAX_DISCARDED_BYTES;
     }
 
-    /** Whether it is read on at this time. */
+    /** Whether the time limit allows further reading. */
     public boolean goesOn(double now) {
-        return now < endsAt;
+        return now < deadlineMs;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/shutdown/ShutdownSchedule.java
+++ b/gateway/src/main/java/marlford/gateway/shutdown/ShutdownSchedule.java
@@ -1,44 +1,45 @@
 package marlford.gateway.shutdown;
 
 /**
- * When a process that was told to end does what, in milliseconds from SIGTERM. The platform kills it no sooner than the
- * longest deadline, {@value #DEADLINE_MOST_MS} ms at most, and {@value #PLATFORM_MS} ms more; deadlines are the
- * deployment's own, so the phases are derived from them and fixed for nobody.
+ * The phases of a shutdown, in milliseconds from SIGTERM. The platform kills the process no sooner than the longest request
+ * deadline, {@value #MAX_DEADLINE_MS} ms at most, plus {@value #PLATFORM_GRACE_MS} ms. Deadlines differ between deployments, so
+ * the phases are derived from them and not fixed.
  *
- * <p>In their order: clients may go on asking over what they have open until {@link #staysMs}; the listener closes at
- * {@link #acceptsMs}; at {@link #endsMs} all that is open is given up and answered, and what still comes is answered at
- * once; at {@link #saysMs} peers are told to turn to others; at {@link #exitsMs} the process is gone. What lies between
- * that and SIGKILL is for a loop that is late.
+ * <p>In order: clients may go on sending requests over their open connections until {@link #staysMs}; the listener closes at
+ * {@link #acceptsMs}; at {@link #endsMs} all requests in progress are abandoned and answered, and requests that still arrive are
+ * answered immediately; at {@link #saysMs} peers are told to use other gateways; at {@link #exitsMs} the process exits. The time
+ * between that and SIGKILL is for a late event loop.
  *
- * <p>Pure: no clock and no I/O. Times are of a process of its own, so the same for every deployment where not derived.
+ * <p>Pure: no clock and no I/O. Times that are not derived from deadlines depend on the process only, and are the same for every
+ * deployment.
  *
- * @param staysMs where other gateways serve too: connections of clients stay open until then; 0 for not at all
- * @param acceptsMs new connections are taken until then
- * @param endsMs attempts are given up, and nothing more is sent
- * @param saysMs the farewell to peers leaves
- * @param exitsMs the process ends, answered or not
- * @param killedMs the platform may kill it from then on
+ * @param staysMs if other gateways serve too, clients' connections stay open until then; 0 closes them immediately
+ * @param acceptsMs new connections are accepted until then
+ * @param endsMs attempts are abandoned, and no more are sent
+ * @param saysMs the farewell to peers is sent
+ * @param exitsMs the process exits, whether or not every request was answered
+ * @param killedMs the platform may kill the process from then on
  */
 public record ShutdownSchedule(double staysMs, double acceptsMs, double endsMs, double saysMs, double exitsMs,
         double killedMs) {
     /** The longest deadline that the platform waits for. */
-    static final double DEADLINE_MOST_MS = 3000;
-    /** What the platform gives beyond the longest deadline. */
-    static final double PLATFORM_MS = 700;
-    /** By the protocol new connections go on coming for 400 ms at most; the rest is for them to be accepted. */
-    static final double ACCEPTS_MS = 500;
-    /** For what a client asks last: where deadlines are shorter nobody stays. */
-    static final double LAST_MS = 1000;
-    private static final double SAYS_SHARE = 2.0 / 7; // of what is left to SIGKILL once all is given up
-    private static final double EXITS_SHARE = 4.0 / 7; // the same: the last bytes have had their time
+    static final double MAX_DEADLINE_MS = 3000;
+    /** Time that the platform grants beyond the longest deadline. */
+    static final double PLATFORM_GRACE_MS = 700;
+    /** By the protocol, new connections keep arriving for 400 ms at most; the rest is for accepting them. */
+    static final double LISTENER_OPEN_MS = 500;
+    /** Time for the last requests of clients; with deadlines shorter than this no client connection is kept open. */
+    static final double LAST_REQUESTS_MS = 1000;
+    private static final double FAREWELL_SHARE = 2.0 / 7; // of the time from the end of all requests to SIGKILL
+    private static final double EXIT_SHARE = 4.0 / 7; // of the same time; the last bytes have been written by then
 
-    /** @param longestMs the longest deadline of the settings' classes, in milliseconds; 0 or more */
-    public static ShutdownSchedule of(double longestMs) {
-        double waits = Math.min(DEADLINE_MOST_MS, Math.max(0, longestMs));
-        double killed = waits + PLATFORM_MS;
-        double ends = Math.max(ACCEPTS_MS, waits);
-        double left = killed - ends;
-        return new ShutdownSchedule(Math.max(0, waits - LAST_MS), ACCEPTS_MS, ends, ends + SAYS_SHARE * left,
-                ends + EXITS_SHARE * left, killed);
+    /** @param longestDeadlineMs the longest deadline of the settings' request classes, in milliseconds; 0 or more */
+    public static ShutdownSchedule of(double longestDeadlineMs) {
+        double waitMs = Math.min(MAX_DEADLINE_MS, Math.max(0, longestDeadlineMs));
+        double killMs = waitMs + PLATFORM_GRACE_MS;
+        double abandonMs = Math.max(LISTENER_OPEN_MS, waitMs);
+        double leftMs = killMs - abandonMs;
+        return new ShutdownSchedule(Math.max(0, waitMs - LAST_REQUESTS_MS), LISTENER_OPEN_MS, abandonMs,
+                abandonMs + FAREWELL_SHARE * leftMs, abandonMs + EXIT_SHARE * leftMs, killMs);
     }
 }
--- a/gateway/src/test/java/marlford/gateway/accept/AcceptRetryTest.java
+++ b/gateway/src/test/java/marlford/gateway/accept/AcceptRetryTest.java
@@ -12,9 +12,9 @@
 class AcceptRetryTest {
     private static final int FAILURES = 10_000;
 
-    /** Single failures among accepted connections, thousands a second, as a system short of buffers gives. */
+    /** Thousands of single failures a second among accepted connections, as on a system that is short of buffers. */
     @Test
-    void failuresThatComeOneByOneFloodTheLog() {
+    void isolatedFailuresAreLoggedOnceASecond() {
         List<String> log = new ArrayList<>();
         AcceptRetry retry = new AcceptRetry(log::add);
         EmbeddedChannel listener = new EmbeddedChannel(retry);
@@ -24,7 +24,7 @@
             listener.pipeline().fireChannelRead("a connection");
         }
         long seconds = (System.nanoTime() - began) / 1_000_000_000;
-        assertTrue(!log.isEmpty() && log.size() <= seconds + 1, log.size() + " lines");
+        assertTrue(!log.isEmpty() && log.size() <= seconds + 1, log.size() + " log lines");
         assertEquals(2L * FAILURES, retry.calls());
         listener.finishAndReleaseAll();
     }
--- a/gateway/src/test/java/marlford/gateway/shutdown/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/marlford/gateway/shutdown/ShutdownScheduleTest.java
@@ -8,29 +8,29 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** The phases of an end, over the whole range of deadlines that settings may name. */
+/** The phases of a shutdown, over the whole range of deadlines that settings may contain. */
 class ShutdownScheduleTest {
-    private static final double RESERVE_MS = 80; // of the least: four beats of 20 ms that a loop may be late
+    private static final double LATE_LOOP_RESERVE_MS = 80; // the event loop may be late by four ticks of 20 ms
 
-    /** Every phase once began 3 s after SIGTERM, whatever the deadlines: with those of 1 s SIGKILL came 1.3 s before. */
+    /** Phases fixed at 3 s after SIGTERM began 1.3 s after SIGKILL with deadlines of 1 s. */
     @Property
-    void everyPhaseComesInItsOrderAndAheadOfSigkill(@ForAll @DoubleRange(min = 0, max = 600_000) double longest) {
+    void phasesAreInOrderAndBeforeSigkill(@ForAll @DoubleRange(min = 0, max = 600_000) double longest) {
         ShutdownSchedule s = ShutdownSchedule.of(longest);
         assertEquals(Math.min(3000, longest) + 700, s.killedMs(), 1e-9);
-        assertTrue(s.staysMs() >= 0 && s.staysMs() <= s.endsMs(), "clients leave before all is given up: " + s);
-        assertTrue(s.acceptsMs() >= 400, "new connections come for 400 ms: " + s);
-        assertTrue(s.acceptsMs() <= s.endsMs() && s.endsMs() < s.saysMs() && s.saysMs() < s.exitsMs(), "order: " + s);
-        assertTrue(s.exitsMs() <= s.killedMs() - RESERVE_MS, "a late loop has no time left: " + s);
+        assertTrue(s.staysMs() >= 0 && s.staysMs() <= s.endsMs(), "client connections are closed before requests are abandoned: " + s);
+        assertTrue(s.acceptsMs() >= 400, "new connections arrive for 400 ms: " + s);
+        assertTrue(s.acceptsMs() <= s.endsMs() && s.endsMs() < s.saysMs() && s.saysMs() < s.exitsMs(), "phases out of order: " + s);
+        assertTrue(s.exitsMs() <= s.killedMs() - LATE_LOOP_RESERVE_MS, "no time is left for a late event loop: " + s);
     }
 
-    /** What was taken up to SIGTERM has all its time, and so has what comes while clients may stay. */
+    /** Requests accepted before SIGTERM keep their whole deadline, and so do those accepted while clients may stay. */
     @Property
-    void whatWasTakenBeforeHasItsWholeTime(@ForAll @DoubleRange(min = 0, max = 3000) double longest) {
+    void acceptedRequestsKeepTheirWholeDeadline(@ForAll @DoubleRange(min = 0, max = 3000) double longest) {
         assertTrue(ShutdownSchedule.of(longest).endsMs() >= longest);
     }
 
     @Test
-    void theLongestDeadlinesGiveThePhasesThatTheyHadBefore() {
+    void longestDeadlinesGiveTheDocumentedPhases() {
         assertEquals(new ShutdownSchedule(2000, 500, 3000, 3200, 3400, 3700), ShutdownSchedule.of(12_000));
     }
 }
