--- a/gateway/src/main/java/marlford/gateway/wire/Fields.java
+++ b/gateway/src/main/java/marlford/gateway/wire/Fields.java
@@ -3,30 +3,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The name=value pairs of one line; names the field at fault when one is missing or malformed. */
+/** The name=value pairs of one line. Every getter throws a {@link WireFault} that names the field if it is missing or malformed. */
 public final class Fields {
     private final Map<String, String> values = new TreeMap<>();
 
-    /** Fields that were read elsewhere, under the same names. */
+    /** Fields that were parsed elsewhere, under the same names. */
     public Fields(Map<String, String> values) {
         this.values.putAll(values);
     }
 
-    /** Reads pairs set apart by single spaces; {@code textField}, where not null, runs to the end of the line. */
+    /** Parses pairs that are separated by single spaces. */
     Fields(String text) {
-        int at = 0;
-        while (at < text.length()) {
-            int space = text.indexOf(' ', at);
+        int start = 0;
+        while (start < text.length()) {
+            int space = text.indexOf(' ', start);
             int end = space < 0 ? text.length() : space;
-            int equals = text.indexOf('=', at);
-            if (equals <= at || equals >= end) {
-                throw new WireFault("not a name=value pair: '" + text.substring(at, end) + "'");
+            int equals = text.indexOf('=', start);
+            if (equals <= start || equals >= end) {
+                throw new WireFault("not a name=value pair: '" + text.substring(start, end) + "'");
             }
-            values.put(text.substring(at, equals), text.substring(equals + 1, end));
-            at = end + 1;
+            values.put(text.substring(start, equals), text.substring(equals + 1, end));
+            start = end + 1;
         }
     }
 
+    /** The value of a required field, which may be empty. */
     private String required(String name) {
         String value = values.get(name);
         if (value == null) {
@@ -35,10 +36,12 @@
         return value;
     }
 
+    /** Whether the field is present. */
     boolean has(String name) {
         return values.containsKey(name);
     }
 
+    /** The text of a required field, which must not be empty. */
     String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
@@ -47,10 +50,12 @@
         return value;
     }
 
+    /** The text of an optional field, or {@code absent}. */
     String text(String name, String absent) {
         return values.getOrDefault(name, absent);
     }
 
+    /** The finite number in a required field. */
     double number(String name) {
         String value = required(name);
         try {
@@ -59,41 +64,46 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // reported below with the field's name
+            // reported below, with the name of the field
         }
-        throw new WireFault("bad number in '" + name + "': '" + value + "'");
+        throw new WireFault("expected a number in '" + name + "', found '" + value + "'");
     }
 
+    /** The finite number in an optional field, or {@code absent}. */
     public double number(String name, double absent) {
         return has(name) ? number(name) : absent;
     }
 
-    long whole(String name) {
+    /** The whole number in a required field. */
+    long longValue(String name) {
         String value = required(name);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireFault("bad whole number in '" + name + "': '" + value + "'");
+            throw new WireFault("expected a whole number in '" + name + "', found '" + value + "'");
         }
     }
 
-    long whole(String name, long absent) {
-        return has(name) ? whole(name) : absent;
+    /** The whole number in an optional field, or {@code absent}. */
+    long longValue(String name, long absent) {
+        return has(name) ? longValue(name) : absent;
     }
 
-    /** A whole number that fits an int. */
-    int count(String name) {
-        long value = whole(name);
+    /** The whole number in a required field, which must fit an int. */
+    int intValue(String name) {
+        long value = longValue(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw new WireFault("number out of range in '" + name + "': '" + value + "'");
+            throw new WireFault("expected a 32-bit number in '" + name + "', found '" + value + "'");
         }
         return (int) value;
     }
 
-    int count(String name, int absent) {
-        return has(name) ? count(name) : absent;
+    /** The whole number in an optional field, which must fit an int, or {@code absent}. */
+    int intValue(String name, int absent) {
+        return has(name) ? intValue(name) : absent;
     }
 
+    /** The truth value in an optional field (1, true, 0 or false), or {@code absent}. */
     boolean flag(String name, boolean absent) {
         String value = values.get(name);
         if (value == null) {
@@ -102,28 +112,29 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new WireFault("bad truth value in '" + name + "': '" + value + "'");
+            default -> throw new WireFault("expected 1, true, 0 or false in '" + name + "', found '" + value + "'");
         };
     }
 
-    /** Numbers set apart by commas; none where the field is absent or empty. */
-    double[] row(String name) {
+    /** Numbers separated by commas; none if the field is absent, empty or {@code -}. */
+    double[] numbers(String name) {
         String value = values.getOrDefault(name, "");
         if (value.isEmpty() || value.equals("-")) {
             return new double[0];
         }
         String[] parts = value.split(",", -1);
-        double[] row = new double[parts.length];
+        double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
             try {
-                row[i] = Double.parseDouble(parts[i]);
+                numbers[i] = Double.parseDouble(parts[i]);
             } catch (NumberFormatException e) {
-                throw new WireFault("bad number in '" + name + "': '" + value + "'");
+                throw new WireFault("expected numbers separated by commas in '" + name + "', found '" + value + "'");
             }
         }
-        return row;
+        return numbers;
     }
 
+    /** The bytes in a required field, as hex digits; {@code -} stands for none. */
     byte[] bytes(String name) {
         String value = text(name);
         if (value.equals("-")) {
@@ -132,7 +143,7 @@
         try {
             return java.util.HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw new WireFault("bad bytes in '" + name + "': '" + value + "'");
+            throw new WireFault("expected pairs of hex digits in '" + name + "', found '" + value + "'");
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/wire/Main.java
+++ b/gateway/src/main/java/marlford/gateway/wire/Main.java
@@ -7,9 +7,9 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** The command line: {@code wirehost} answers the simulator's wire on standard input and output. */
+/** Command line of the simulator's adapter: {@code wirehost} reads lines on standard input and replies on standard output. */
 public final class Main {
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     private Main() { }
 
@@ -18,9 +18,9 @@
             System.err.println("usage: deckfall wirehost");
             System.exit(2);
         }
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER);
+        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_BYTES);
         BufferedWriter out = new BufferedWriter(
-                new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER);
+                new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER_BYTES);
         try {
             new WireHost(in, out).run();
         } catch (WireFault fault) {
--- a/gateway/src/main/java/marlford/gateway/wire/ReplyWriter.java
+++ b/gateway/src/main/java/marlford/gateway/wire/ReplyWriter.java
@@ -3,32 +3,37 @@
 import java.util.HexFormat;
 import marlford.gateway.EngineApi.Actions;
 
-/** Writes one instance's actions as lines of the reply; the AT line comes before its first. */
+/**
+ * Writes the actions of one engine instance as lines of the reply to a batch. An AT line precedes its first action, and each one that
+ * follows an action of another instance.
+ */
 final class ReplyWriter implements Actions {
     private final StringBuilder out;
     private final long instance;
-    private final long[] lastAt;
+    private final long[] lastInstance; // one element, shared by the writers of all instances
 
-    ReplyWriter(StringBuilder out, long instance, long[] lastAt) {
+    /** @param lastInstance its only element is the instance named by the last AT line */
+    ReplyWriter(StringBuilder out, long instance, long[] lastInstance) {
         this.out = out;
         this.instance = instance;
-        this.lastAt = lastAt;
+        this.lastInstance = lastInstance;
     }
 
+    /** Starts a line of this instance. */
     private StringBuilder line(String name) {
-        if (lastAt[0] != instance) {
+        if (lastInstance[0] != instance) {
             out.append("AT gateway_id=").append(instance).append('\n');
-            lastAt[0] = instance;
+            lastInstance[0] = instance;
         }
         return out.append(name);
     }
 
-    /** Three decimals, the simulator's microsecond, without an exponent. */
+    /** The number with three decimals, since the simulator counts microseconds, and without an exponent. */
     private static String number(double value) {
         long thousandths = Math.round(value * 1000);
         String sign = thousandths < 0 ? "-" : "";
-        long size = Math.abs(thousandths);
-        return sign + size / 1000 + '.' + String.valueOf(1000 + size % 1000).substring(1);
+        long magnitude = Math.abs(thousandths);
+        return sign + magnitude / 1000 + '.' + String.valueOf(1000 + magnitude % 1000).substring(1);
     }
 
     @Override
--- a/gateway/src/main/java/marlford/gateway/wire/WireFault.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireFault.java
@@ -1,6 +1,6 @@
 package marlford.gateway.wire;
 
-/** A line that cannot be read; the message tells what is wrong with it. */
+/** A line or field that can't be parsed; the message says what was expected and what was found. */
 public final class WireFault extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/marlford/gateway/wire/WireHost.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireHost.java
@@ -15,13 +15,13 @@
 import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.EngineApi.Request;
 
-/** Hosts many instances of the decision module on the simulator's wire and translates lines both ways. */
+/** Runs many instances of the decision engine for the simulator: translates its lines into events, and actions into lines. */
 final class WireHost {
     private final BufferedReader in;
     private final Writer out;
-    private final Map<Long, DecisionEngine> brains = new TreeMap<>();
-    private final Map<Integer, List<Host>> catalogs = new TreeMap<>();
-    private final long[] lastAt = {Long.MIN_VALUE};
+    private final Map<Long, DecisionEngine> engines = new TreeMap<>();
+    private final Map<Integer, List<Host>> hostsByPage = new TreeMap<>();
+    private final long[] lastInstance = {Long.MIN_VALUE}; // named by the last AT line of the reply; none at first
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private String line = "";
@@ -31,7 +31,11 @@
         this.out = out;
     }
 
-    /** Answers batches until the input ends; a {@link WireFault} names the line and what is wrong with it. */
+    /**
+     * Replies to batches until the input ends.
+     *
+     * @throws WireFault if a line can't be processed; the message names the line and what is wrong with it
+     */
     void run() throws IOException {
         try {
             while (next()) {
@@ -45,30 +49,34 @@
         }
     }
 
+    /** Reads the next line; false at the end of the input. */
     private boolean next() throws IOException {
         line = in.readLine();
         lineNumber++;
         return line != null;
     }
 
+    /** The name of the message, which ends at the first space. */
     private static String nameOf(String line) {
         int space = line.indexOf(' ');
         return space < 0 ? line : line.substring(0, space);
     }
 
+    /** The fields of the current line. */
     private Fields fields() {
         int space = line.indexOf(' ');
         return new Fields(space < 0 ? "" : line.substring(space + 1));
     }
 
+    /** Processes one batch, whose first line is the current one, and writes the reply. */
     private void batch() throws IOException {
         if (!nameOf(line).equals("BEGIN_BATCH")) {
             throw new WireFault("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
         }
         Fields head = fields();
         double now = head.number("moment_ms");
-        long turn = head.whole("turn");
-        lastAt[0] = Long.MIN_VALUE;
+        long turn = head.longValue("turn");
+        lastInstance[0] = Long.MIN_VALUE;
         reply.setLength(0);
         long target = Long.MIN_VALUE;
         while (true) {
@@ -80,7 +88,7 @@
                 break;
             }
             if (name.equals("TARGET_INSTANCE")) {
-                target = fields().whole("gateway_id");
+                target = fields().longValue("gateway_id");
             } else if (name.equals("CATALOG")) {
                 catalog(fields());
             } else {
@@ -92,40 +100,41 @@
         out.flush();
     }
 
+    /** Passes the message on the current line on to the target instance. */
     private void event(double now, long target, String name) {
         if (target == Long.MIN_VALUE) {
             throw new WireFault("'" + name + "' before any TARGET_INSTANCE");
         }
         Fields f = fields();
         if (name.equals("ATTACH")) {
-            DecisionEngine engine = new DecisionEngine(new ReplyWriter(reply, target, lastAt));
-            brains.put(target, engine);
+            DecisionEngine engine = new DecisionEngine(new ReplyWriter(reply, target, lastInstance));
+            engines.put(target, engine);
             engine.onStart(now, SettingsReader.read(f));
             return;
         }
         if (name.equals("KILL")) {
-            brains.remove(target);
+            engines.remove(target);
             return;
         }
-        DecisionEngine engine = brains.get(target);
+        DecisionEngine engine = engines.get(target);
         if (engine == null) {
-            throw new WireFault("'" + name + "' for an instance that was not started: " + target);
+            throw new WireFault("'" + name + "' for an instance without an ATTACH: " + target);
         }
         switch (name) {
             case "MEMBERSHIP" -> membership(now, engine, f);
             case "DEMAND" -> engine.onRequest(now, new Request(f.text("op_id"), f.number("valid_until_ms"), now,
-                    f.flag("retry", false), f.text("lane"), f.whole("holder"), f.text("contract"),
-                    f.number("size_units"), f.count("from_no", 0), f.count("doors", 1)));
-            case "FLOWING" -> engine.onStreamStarted(now, f.text("op_id"), f.count("hop"));
-            case "COMPLETED" -> engine.onAttemptEnded(now, new AttemptResult(f.text("op_id"), f.count("hop"),
+                    f.flag("retry", false), f.text("lane"), f.longValue("holder"), f.text("contract"),
+                    f.number("size_units"), f.intValue("from_no", 0), f.intValue("doors", 1)));
+            case "FLOWING" -> engine.onStreamStarted(now, f.text("op_id"), f.intValue("hop"));
+            case "COMPLETED" -> engine.onAttemptEnded(now, new AttemptResult(f.text("op_id"), f.intValue("hop"),
                     f.text("host"), outcome(f.text("reason")), f.number("cost_time_ms", 0),
-                    f.flag("terminal", false), f.count("use_pct", 0), f.number("cost", 0),
-                    f.row("health_info")));
+                    f.flag("terminal", false), f.intValue("use_pct", 0), f.number("cost", 0),
+                    f.numbers("health_info")));
             case "VANISHED" -> engine.onClientLeft(now, f.text("op_id"));
             case "DUE" -> engine.onTimer(now, f.text("cookie"));
             case "PROBE_RESULT" -> engine.onProbeResult(now, f.text("host"), outcome(f.text("reason")),
-                    f.number("cost_time_ms", 0), f.row("health_info"));
-            case "FROM_PEER" -> engine.onPeerMessage(now, f.count("neighbour"), f.bytes("contents"));
+                    f.number("cost_time_ms", 0), f.numbers("health_info"));
+            case "FROM_PEER" -> engine.onPeerMessage(now, f.intValue("neighbour"), f.bytes("contents"));
             case "COUNTED" -> engine.onCounterResult(now, f.text("counter"), outcome(f.text("reason")),
                     f.number("reading", 0));
             default -> throw new WireFault("unknown message '" + name + "'");
@@ -139,12 +148,12 @@
             case "F" -> ListKind.FULL;
             case "C" -> ListKind.CACHED;
             case "X" -> ListKind.FAILED;
-            default -> throw new WireFault("unknown list kind '" + how + "'");
+            default -> throw new WireFault("expected list kind D, F, C or X, found '" + how + "'");
         };
         List<Host> hosts = List.of();
         if (kind != ListKind.FAILED) {
-            int page = f.count("page");
-            hosts = catalogs.get(page);
+            int page = f.intValue("page");
+            hosts = hostsByPage.get(page);
             if (hosts == null) {
                 throw new WireFault("no CATALOG with page " + page);
             }
@@ -152,9 +161,10 @@
         engine.onHosts(now, kind, hosts);
     }
 
+    /** Reads a page of hosts, which later MEMBERSHIP messages refer to. */
     private void catalog(Fields f) throws IOException {
-        int page = f.count("page");
-        int members = f.count("members");
+        int page = f.intValue("page");
+        int members = f.intValue("members");
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < members; i++) {
             if (!next() || !nameOf(line).equals("HOST")) {
@@ -162,23 +172,23 @@
             }
             Fields h = fields();
             hosts.add(new Host(h.text("host"), h.text("failure_domain", ""), h.text("shape", ""),
-                    h.count("cohort", 0), state(h.text("mode")), h.number("rating", 1),
+                    h.intValue("cohort", 0), state(h.text("mode")), h.number("rating", 1),
                     h.number("born_ms", 0)));
         }
-        catalogs.put(page, List.copyOf(hosts));
+        hostsByPage.put(page, List.copyOf(hosts));
     }
 
-    private static HostState state(String word) {
-        return switch (word) {
+    private static HostState state(String value) {
+        return switch (value) {
             case "Running" -> HostState.RUNNING;
             case "Stopping" -> HostState.DRAINING;
             case "Deleted" -> HostState.GONE;
-            default -> throw new WireFault("unknown host mode '" + word + "'");
+            default -> throw new WireFault("expected mode Running, Stopping or Deleted, found '" + value + "'");
         };
     }
 
-    private static Outcome outcome(String word) {
-        return switch (word) {
+    private static Outcome outcome(String value) {
+        return switch (value) {
             case "Ok" -> Outcome.OK;
             case "Failed" -> Outcome.ERROR;
             case "QueueFull" -> Outcome.FULL;
@@ -187,7 +197,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
             case "Ignored" -> Outcome.MOOT;
-            default -> throw new WireFault("unknown reason '" + word + "'");
+            default -> throw new WireFault("unknown outcome in 'reason': '" + value + "'");
         };
     }
 }
