--- a/gateway/src/test/java/marlford/gateway/ColdTier.java
+++ b/gateway/src/test/java/marlford/gateway/ColdHostSimulation.java
@@ -16,43 +16,44 @@
 import marlford.gateway.EngineApi.Settings;
 
 /**
- * A tier of gateways, each a whole decision module that decides by itself, before hosts that start cold, in virtual time. The
- * hosts serve in order on a few cores, cold ones at the part of their speed that the settings name, and turn away what their
- * queue has no room for. What all gateways together send to a host is held against what the settings allow it.
+ * Simulates, in virtual time, a tier of gateways, each a whole decision engine, in front of hosts that start cold. The hosts
+ * serve requests in order on a few cores, cold hosts at the share of their speed that the settings name, and reject requests
+ * that their queue has no room for. The load that all gateways together send to a cold host is compared with the settings' limit.
  */
-final class ColdTier {
+final class ColdHostSimulation {
     private static final double STEP_MS = 2;
     private static final int QUEUE_PER_CORE = 16;
-    private static final int BUSY = 5; // one of so many gateways gets three times the mean
-    private static final double TIME_MS = 3000; // of a client
-    private static final int WRONG_ONE_IN = 3; // gateways
+    private static final int BUSY_ONE_IN = 5; // gateways; a busy one receives three times the mean load
+    private static final double CLIENT_DEADLINE_MS = 3000;
+    private static final int WRONG_CLOCK_ONE_IN = 3; // gateways
     private static final Rules RULES = FakeGateway.settings(0, 1).rules();
 
-    /** A request at a host. */
+    /** An attempt at a host. */
     private static final class Job {
         final int gateway;
-        final int life; // of that gateway
+        final int incarnation; // of that gateway
         final String id;
         final int attempt;
         final double sentAt;
-        double left; // milliseconds of work
+        double workLeftMs;
 
-        Job(int gateway, int life, String id, int attempt, double sentAt, double left) {
+        Job(int gateway, int incarnation, String id, int attempt, double sentAt, double workLeftMs) {
             this.gateway = gateway;
-            this.life = life;
+            this.incarnation = incarnation;
             this.id = id;
             this.attempt = attempt;
             this.sentAt = sentAt;
-            this.left = left;
+            this.workLeftMs = workLeftMs;
         }
     }
 
+    /** A host with a few cores and a queue of limited length. */
     private final class SimHost {
         final String name;
         final ArrayDeque<Job> queue = new ArrayDeque<>();
         final List<Job> running = new ArrayList<>();
-        final ArrayDeque<Double> arrivals = new ArrayDeque<>(); // within the settings' window
-        double startedAt; // 0: long ago
+        final ArrayDeque<Double> arrivals = new ArrayDeque<>(); // while cold, within the settings' window
+        double startedAt; // 0 for a host that has been warm for long
         boolean up = true;
 
         final int cores;
@@ -67,24 +68,24 @@
             return new Host(name, name.substring(0, 1), "std", 0, state, 1, startedAt);
         }
 
-        /** The part of its speed that it has at that time. */
-        double warmth(double at) {
-            double climbed = startedAt == 0 ? 1 : Math.max(0, at - startedAt) / RULES.warmWithinMs();
-            return Math.min(1, RULES.coldFrom() + (1 - RULES.coldFrom()) * climbed);
+        /** The share of its full speed that the host has at that time. */
+        double speedShare(double at) {
+            double warmUpShare = startedAt == 0 ? 1 : Math.max(0, at - startedAt) / RULES.warmWithinMs();
+            return Math.min(1, RULES.coldFrom() + (1 - RULES.coldFrom()) * warmUpShare);
         }
 
         boolean isCold() {
-            return startedAt > 0 && warmth(now) < 1;
+            return startedAt > 0 && speedShare(now) < 1;
         }
 
-        void take(Job job) {
+        void receive(Job job) {
             if (isCold()) {
                 arrivals.add(now);
-                toCold++;
+                coldHostAttempts++;
                 while (arrivals.peek() <= now - RULES.fallMs()) {
                     arrivals.poll();
                 }
-                worst = Math.max(worst, arrivals.size() / most(now - RULES.fallMs()));
+                worstLoad = Math.max(worstLoad, arrivals.size() / maxRequests(now - RULES.fallMs()));
             }
             if (running.size() + queue.size() >= cores * (1 + QUEUE_PER_CORE)) {
                 end(job, Outcome.FULL, name);
@@ -93,9 +94,9 @@
             }
         }
 
-        /** The most that it bears in the window that begins then, N + 2 root N + 2. */
-        private double most(double from) {
-            double allowed = RULES.fallMultiple() * warmth(from) * cores / workMs * RULES.fallMs();
+        /** The most requests that the host can bear in the window that begins then: N + 2 root N + 2. */
+        private double maxRequests(double from) {
+            double allowed = RULES.fallMultiple() * speedShare(from) * cores / workMs * RULES.fallMs();
             return allowed + 2 * Math.sqrt(allowed) + 2;
         }
 
@@ -103,10 +104,10 @@
             while (running.size() < cores && !queue.isEmpty()) {
                 running.add(queue.poll());
             }
-            double done = STEP_MS * warmth(now);
+            double doneMs = STEP_MS * speedShare(now);
             for (Job job : List.copyOf(running)) {
-                job.left -= done;
-                if (job.left <= 0) {
+                job.workLeftMs -= doneMs;
+                if (job.workLeftMs <= 0) {
                     running.remove(job);
                     end(job, Outcome.OK, name);
                 }
@@ -116,93 +117,93 @@
 
     private final List<FakeGateway> gateways = new ArrayList<>();
     private final double[] clockErrors; // by gateway, in milliseconds
-    private final int[] lives;
+    private final int[] incarnations;
     private final Map<String, SimHost> hosts = new HashMap<>();
-    private final List<SimHost> inOrder = new ArrayList<>();
+    private final List<SimHost> hostsInOrder = new ArrayList<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final Random random;
     private final int[] cores; // of hosts, in turn
     private final double workMs;
     private double now = 1e8;
-    private int asked;
+    private int requestCount;
     private int served;
-    private int toCold;
-    private double worst;
+    private int coldHostAttempts;
+    private double worstLoad;
 
-    ColdTier(int gatewayCount, int hostCount, int[] cores, double workMs, long seed) {
+    ColdHostSimulation(int gatewayCount, int hostCount, int[] cores, double workMs, long seed) {
         this(gatewayCount, hostCount, cores, workMs, seed, 0);
     }
 
-    /** With one gateway in three whose wall clock was wrong by so much when it started. */
-    ColdTier(int gatewayCount, int hostCount, int[] cores, double workMs, long seed, double clockErrorMs) {
+    /** One gateway in three has a wall clock that was wrong by {@code clockErrorMs} when it started. */
+    ColdHostSimulation(int gatewayCount, int hostCount, int[] cores, double workMs, long seed, double clockErrorMs) {
         this.clockErrors = new double[gatewayCount];
-        this.lives = new int[gatewayCount];
+        this.incarnations = new int[gatewayCount];
         this.cores = cores;
         this.workMs = workMs;
         this.random = new Random(seed);
         for (int i = 0; i < gatewayCount; i++) {
-            clockErrors[i] = i % WRONG_ONE_IN == 0 ? clockErrorMs : 0;
-            gateways.add(begin(i));
+            clockErrors[i] = i % WRONG_CLOCK_ONE_IN == 0 ? clockErrorMs : 0;
+            gateways.add(startGateway(i));
         }
         for (int i = 0; i < hostCount; i++) {
             add(cores[i % cores.length]);
         }
-        tell(ListKind.FULL, inOrder);
+        sendList(ListKind.FULL, hostsInOrder);
     }
 
     private SimHost add(int cores) {
-        SimHost host = new SimHost((inOrder.size() % 2 == 0 ? "a" : "b") + inOrder.size(), cores);
+        SimHost host = new SimHost((hostsInOrder.size() % 2 == 0 ? "a" : "b") + hostsInOrder.size(), cores);
         hosts.put(host.name, host);
-        inOrder.add(host);
+        hostsInOrder.add(host);
         return host;
     }
 
-    private FakeGateway begin(int number) {
+    private FakeGateway startGateway(int number) {
         Settings settings = FakeGateway.settings(number, clockErrors.length, random.nextLong());
         return new FakeGateway(clockOf(number), settings);
     }
 
-    /** What that gateway's clock shows: it was set from its wall clock once, and runs on. */
+    /** The time on that gateway's clock, which was set from its wall clock once and then runs steadily. */
     private double clockOf(int number) {
         return now + clockErrors[number];
     }
 
-    private void tell(ListKind kind, List<SimHost> changed) {
+    private void sendList(ListKind kind, List<SimHost> changed) {
         List<Host> list = changed.stream().map(SimHost::info).toList();
         for (int i = 0; i < gateways.size(); i++) {
             gateways.get(i).engine.onHosts(clockOf(i), kind, list);
         }
     }
 
-    /** All gateways whose wall clock is wrong are started anew, and told the whole list as it stands. */
-    void restartWrongOnes() {
-        List<Host> list = inOrder.stream().filter(h -> h.up).map(SimHost::info).toList();
-        for (int i = 0; i < gateways.size(); i += WRONG_ONE_IN) {
-            gateways.set(i, begin(i));
-            lives[i]++;
+    /** Restarts all gateways with a wrong wall clock; each receives the present full list. */
+    void restartGatewaysWithWrongClocks() {
+        List<Host> list = hostsInOrder.stream().filter(h -> h.up).map(SimHost::info).toList();
+        for (int i = 0; i < gateways.size(); i += WRONG_CLOCK_ONE_IN) {
+            gateways.set(i, startGateway(i));
+            incarnations[i]++;
             gateways.get(i).engine.onHosts(clockOf(i), ListKind.FULL, list);
         }
     }
 
-    /** So many hosts start, and all gateways are told at once. */
-    void join(int count) {
-        tell(ListKind.CHANGES, start(count));
+    /** Starts this many hosts, and reports them to all gateways at once. */
+    void addHosts(int count) {
+        sendList(ListKind.CHANGES, startHosts(count));
     }
 
-    private List<SimHost> start(int count) {
-        List<SimHost> young = new ArrayList<>();
+    private List<SimHost> startHosts(int count) {
+        List<SimHost> started = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             SimHost host = add(cores[i % cores.length]);
             host.startedAt = now;
-            young.add(host);
+            started.add(host);
         }
-        return young;
+        return started;
     }
 
-    /** The first so many hosts break down; what is there ends with a reset. */
-    void lose(int count) {
-        List<SimHost> lost = inOrder.subList(0, count);
-        for (SimHost host : lost) {
+    /** The first hosts, this many, fail; the requests that they have end with a reset. */
+    void failHosts(int count) {
+        List<SimHost> failed = hostsInOrder.subList(0, count);
+        for (SimHost host : failed) {
             host.up = false;
             List<Job> jobs = new ArrayList<>(host.running);
             jobs.addAll(host.queue);
@@ -210,58 +211,59 @@
             host.queue.clear();
             jobs.forEach(j -> end(j, Outcome.RESET, host.name));
         }
-        tell(ListKind.CHANGES, lost);
+        sendList(ListKind.CHANGES, failed);
     }
 
-    /** They are back, cold. */
-    void comeBack(int count) {
-        List<SimHost> back = inOrder.subList(0, count);
-        for (SimHost host : back) {
+    /** The first hosts, this many, are back, and cold. */
+    void restartHosts(int count) {
+        List<SimHost> restarted = hostsInOrder.subList(0, count);
+        for (SimHost host : restarted) {
             host.up = true;
             host.startedAt = now;
             host.arrivals.clear();
         }
-        tell(ListKind.CHANGES, back);
+        sendList(ListKind.CHANGES, restarted);
     }
 
-    /** Clients ask for that part of what the first so many hosts could do when warm. */
-    void pass(double ms, double load, int hostsMeant) {
-        double coresMeant = inOrder.stream().limit(hostsMeant).mapToInt(h -> h.cores).sum();
-        double perStep = load * coresMeant / workMs * STEP_MS;
+    /** Advances the time. Clients send {@code load} times what the first {@code hostCount} hosts could serve when warm. */
+    void run(double ms, double load, int hostCount) {
+        double totalCores = hostsInOrder.stream().limit(hostCount).mapToInt(h -> h.cores).sum();
+        double perStep = load * totalCores / workMs * STEP_MS;
         for (double end = now + ms; now < end;) {
             now += STEP_MS;
             for (int i = 0; i < gateways.size(); i++) {
                 gateways.get(i).runTo(clockOf(i));
             }
             for (double due = perStep + random.nextDouble(); due >= 1; due--) {
-                ask();
+                sendRequest();
             }
-            inOrder.stream().filter(h -> h.up).forEach(SimHost::work);
+            hostsInOrder.stream().filter(h -> h.up).forEach(SimHost::work);
             for (int i = 0; i < gateways.size(); i++) {
-                carry(i);
+                deliver(i);
             }
         }
     }
 
-    private void ask() {
-        int among = random.nextBoolean() ? gateways.size() : Math.max(1, gateways.size() / BUSY);
+    private void sendRequest() {
+        int among = random.nextBoolean() ? gateways.size() : Math.max(1, gateways.size() / BUSY_ONE_IN);
         int number = random.nextInt(among);
         double clock = clockOf(number);
         gateways.get(number).engine.onRequest(clock,
-                new Request("r" + asked++, clock + TIME_MS, clock, false, "read", 1, "free", 1, 0, 1));
+                new Request("r" + requestCount++, clock + CLIENT_DEADLINE_MS, clock, false, "read", 1, "free", 1, 0, 1));
     }
 
-    private void carry(int gateway) {
+    /** Delivers the attempts that a gateway has sent to their hosts. */
+    private void deliver(int gateway) {
         FakeGateway g = gateways.get(gateway);
         while (!g.sent.isEmpty()) {
             List<FakeGateway.Sent> sent = List.copyOf(g.sent);
             g.sent.clear();
             for (FakeGateway.Sent s : sent) {
                 int attempt = attempts.merge(s.id(), 1, Integer::sum) - 1;
-                Job job = new Job(gateway, lives[gateway], s.id(), attempt, s.at(), -Math.log(1 - random.nextDouble()) * workMs);
+                Job job = new Job(gateway, incarnations[gateway], s.id(), attempt, s.at(), -Math.log(1 - random.nextDouble()) * workMs);
                 SimHost host = hosts.get(s.host());
                 if (host.up) {
-                    host.take(job);
+                    host.receive(job);
                 } else {
                     end(job, Outcome.CONNECT_FAILED, s.host());
                 }
@@ -274,26 +276,26 @@
     private void end(Job job, Outcome outcome, String host) {
         boolean ok = outcome == Outcome.OK;
         served += ok ? 1 : 0;
-        if (job.life != lives[job.gateway]) {
-            return; // whoever sent it is gone
+        if (job.incarnation != incarnations[job.gateway]) {
+            return; // the gateway that sent it was restarted
         }
         double clock = clockOf(job.gateway);
         gateways.get(job.gateway).engine.onAttemptEnded(clock, new AttemptResult(job.id, job.attempt, host, outcome,
                 clock - job.sentAt, ok, 0, 0, new double[0]));
     }
 
-    /** The most that a cold host got in any window, over the most that it bears. */
-    double worst() {
-        return worst;
+    /** The most requests that a cold host received in any window, relative to the most that it can bear. */
+    double worstLoad() {
+        return worstLoad;
     }
 
-    /** What cold hosts got. */
-    int toCold() {
-        return toCold;
+    /** The number of requests that cold hosts received. */
+    int coldHostAttempts() {
+        return coldHostAttempts;
     }
 
-    /** What was served of all that was asked for. */
+    /** The share of all requests that was served. */
     double servedShare() {
-        return (double) served / asked;
+        return (double) served / requestCount;
     }
 }
--- a/gateway/src/test/java/marlford/gateway/DecisionBenchmark.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionBenchmark.java
@@ -20,8 +20,8 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
 /**
- * What one request costs the decision module, from its coming to its answer, a beat of the clock in ten: by hosts and by
- * gateways. Not a test: {@code main} runs it, and its figures are to be compared within one run.
+ * Measures the time that the decision engine takes for one request from arrival to answer, with a timer tick for every tenth, by
+ * number of hosts and of gateways. Not a test: {@code main} runs it, and figures are comparable only within one run.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -30,9 +30,9 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 4, time = 1)
 public class DecisionBenchmark {
-    private static final int BEAT_EVERY = 10;
+    private static final int REQUESTS_PER_TICK = 10;
     private static final double STEP_MS = 2;
-    private static final int NOTES_MAX = 1000; // of the notebook, which is none of the module's
+    private static final int MAX_RECORDED_REQUESTS = 1000; // before the recorded actions, which are not the engine's, are cleared
 
     @Param({"60", "200", "1000"})
     public int hosts;
@@ -41,7 +41,7 @@
     public int gateways;
 
     private FakeGateway gateway;
-    private int asked;
+    private int requestCount;
 
     public static void main(String[] arguments) throws RunnerException {
         new Runner(new OptionsBuilder().include(DecisionBenchmark.class.getSimpleName()).build()).run();
@@ -56,14 +56,14 @@
 
     @Benchmark
     public void request() {
-        String id = "r" + asked++;
+        String id = "r" + requestCount++;
         gateway.ask(id, "read");
         gateway.end(id, 0, EngineApi.Outcome.OK, 5);
         gateway.now += STEP_MS;
-        if (asked % BEAT_EVERY == 0) {
+        if (requestCount % REQUESTS_PER_TICK == 0) {
             gateway.engine.onTimer(gateway.now, "beat");
         }
-        if (asked % NOTES_MAX == 0) {
+        if (requestCount % MAX_RECORDED_REQUESTS == 0) {
             gateway.sent.clear();
             gateway.log.clear();
             gateway.told.clear();
--- a/gateway/src/test/java/marlford/gateway/LargeTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/LargeTierTest.java
@@ -16,64 +16,65 @@
 import marlford.gateway.gossip.UsageMessage;
 import org.junit.jupiter.api.Test;
 
-/** Fourteen gateways over a lossy link that takes in only so many messages a second: quotas without questions. */
+/** Quotas by usage messages, without admission queries: fourteen gateways, a lossy link and a limit of messages per second. */
 class LargeTierTest {
     private static final int GATEWAYS = 14;
-    private static final int WIDE = 10; // gateways of a customer's set
+    private static final int SET_SIZE = 10; // gateways of a customer's set
     private static final int STEP_MS = 10;
-    private static final double LOSS = 0.08;
-    private static final int INTAKE = 60; // a second, as in the settings
+    private static final double LOSS_SHARE = 0.08;
+    private static final int MESSAGES_PER_SECOND = 60; // that a gateway accepts, as in the settings
     private static final double RATE = FakeGateway.SMALL.rate();
     private static final double BURST = FakeGateway.SMALL.burst();
 
-    private final List<FakeGateway> all = new ArrayList<>();
-    private final List<ArrayDeque<Double>> taken = new ArrayList<>();
+    private final List<FakeGateway> gateways = new ArrayList<>();
+    private final List<ArrayDeque<Double>> receivedAt = new ArrayList<>();
     private final Map<String, Double> units = new HashMap<>();
-    private final Map<Long, Double> letIn = new HashMap<>();
+    private final Map<Long, Double> admitted = new HashMap<>(); // units, under key 0
     private final Set<String> answered = new HashSet<>();
     private final Random random = new Random(11);
     private double ceiling = FakeGateway.CAPPED.ceilingBurst();
     private double ceilingAt = 1000;
-    private double lowest = ceiling;
-    private int asked;
-    private int dropped;
-    private int heard;
+    private double lowestCeiling = ceiling;
+    private int requestCount;
+    private int droppedMessages;
+    private int received;
 
     LargeTierTest() {
         for (int i = 0; i < GATEWAYS; i++) {
-            all.add(new FakeGateway(1000, FakeGateway.settings(i, GATEWAYS, random.nextLong())).withHosts("a1", "a2", "a3"));
-            taken.add(new ArrayDeque<>());
+            gateways.add(new FakeGateway(1000, FakeGateway.settings(i, GATEWAYS, random.nextLong())).withHosts("a1", "a2", "a3"));
+            receivedAt.add(new ArrayDeque<>());
         }
     }
 
     private double now() {
-        return all.get(0).now;
+        return gateways.get(0).now;
     }
 
     private void restart(int gateway) {
-        all.set(gateway, new FakeGateway(now(), FakeGateway.settings(gateway, GATEWAYS, random.nextLong()))
+        gateways.set(gateway, new FakeGateway(now(), FakeGateway.settings(gateway, GATEWAYS, random.nextLong()))
                 .withHosts("a1", "a2", "a3"));
     }
 
-    private void ask(long customer, int first, double amount) {
-        askAt((first + random.nextInt(WIDE)) % GATEWAYS, "small", customer, first, amount);
+    /** Sends a request to a random gateway of the customer's set. */
+    private void request(long customer, int first, double amount) {
+        requestAt((first + random.nextInt(SET_SIZE)) % GATEWAYS, "small", customer, first, amount);
     }
 
-    private void askAt(int gateway, String plan, long customer, int first, double amount) {
-        String id = "r" + asked++;
+    private void requestAt(int gateway, String plan, long customer, int first, double amount) {
+        String id = "r" + requestCount++;
         units.put(id, amount);
-        FakeGateway g = all.get(gateway);
+        FakeGateway g = gateways.get(gateway);
         g.engine.onRequest(g.now, new EngineApi.Request(id, g.now + 3000, g.now, false, "read", customer, plan, amount,
-                first, WIDE));
+                first, SET_SIZE));
     }
 
-    /** One step of every gateway, with what they told each other in the one before. */
+    /** One step of every gateway; then delivers messages and serves admitted requests. */
     private void step() {
-        all.forEach(g -> g.pass(STEP_MS));
+        gateways.forEach(g -> g.pass(STEP_MS));
         for (int from = 0; from < GATEWAYS; from++) {
-            List<FakeGateway.Told> told = List.copyOf(all.get(from).told);
-            all.get(from).told.clear();
-            for (FakeGateway.Told t : told) {
+            List<FakeGateway.Told> messages = List.copyOf(gateways.get(from).told);
+            gateways.get(from).told.clear();
+            for (FakeGateway.Told t : messages) {
                 for (int to = 0; to < GATEWAYS; to++) {
                     if (to != from && (t.peer() < 0 || t.peer() == to)) {
                         deliver(from, to, t.data());
@@ -81,11 +82,11 @@
                 }
             }
         }
-        for (FakeGateway g : all) {
+        for (FakeGateway g : gateways) {
             for (FakeGateway.Sent s : List.copyOf(g.sent)) {
                 if (answered.add(s.id())) {
-                    letIn.merge(0L, units.get(s.id()), Double::sum);
-                    passed(s.at(), units.get(s.id()));
+                    admitted.merge(0L, units.get(s.id()), Double::sum);
+                    chargeCeiling(s.at(), units.get(s.id()));
                     g.end(s.id(), 0, EngineApi.Outcome.OK, 5);
                 }
             }
@@ -93,145 +94,145 @@
     }
 
     private void deliver(int from, int to, byte[] data) {
-        ArrayDeque<Double> recent = taken.get(to);
+        ArrayDeque<Double> recent = receivedAt.get(to);
         while (!recent.isEmpty() && recent.peek() < now() - 1000) {
             recent.poll();
         }
-        if (recent.size() >= INTAKE) {
-            dropped++;
-        } else if (random.nextDouble() >= LOSS) {
-            heard++;
+        if (recent.size() >= MESSAGES_PER_SECOND) {
+            droppedMessages++;
+        } else if (random.nextDouble() >= LOSS_SHARE) {
+            received++;
             recent.add(now());
-            all.get(to).engine.onPeerMessage(now(), from, data);
+            gateways.get(to).engine.onPeerMessage(now(), from, data);
         }
     }
 
-    /** Asks for each of so many customers at the given share of the quota, one unit each time. */
-    private void load(int customers, double share, int seconds) {
-        double perStep = customers * share * RATE * STEP_MS / 1000;
+    /** Requests of one unit each, for this many customers, at this share of their quotas. */
+    private void load(int customers, double quotaShare, int seconds) {
+        double perStep = customers * quotaShare * RATE * STEP_MS / 1000;
         for (int i = 0; i < seconds * 1000 / STEP_MS; i++) {
             int count = (int) perStep + (random.nextDouble() < perStep % 1 ? 1 : 0);
             for (int r = 0; r < count; r++) {
                 int customer = random.nextInt(customers);
-                ask(customer + 1, customer % GATEWAYS, 1);
+                request(customer + 1, customer % GATEWAYS, 1);
             }
             step();
         }
     }
 
-    /** The true store of the one customer under a ceiling. */
-    private void passed(double at, double amount) {
+    /** Charges the true token bucket of the only customer with a ceiling. */
+    private void chargeCeiling(double at, double amount) {
         ceiling = Math.min(FakeGateway.CAPPED.ceilingBurst(),
                 ceiling + FakeGateway.CAPPED.ceilingRate() * (at - ceilingAt) / 1000) - amount;
         ceilingAt = at;
-        lowest = Math.min(lowest, ceiling);
+        lowestCeiling = Math.min(lowestCeiling, ceiling);
     }
 
-    /** Asks for two units at a time under a ceiling, so many units a second, at gateways that the caller draws. */
+    /** Requests of two units under a ceiling, {@code perSecond} units a second, at gateways that the caller chooses. */
     private void loadCapped(double perSecond, int seconds, IntSupplier gateway) {
         double perStep = perSecond / 2 * STEP_MS / 1000;
         for (int i = 0; i < seconds * 1000 / STEP_MS; i++) {
             for (double due = perStep + random.nextDouble(); due >= 1; due--) {
-                askAt(gateway.getAsInt(), "capped", 42, 0, 2);
+                requestAt(gateway.getAsInt(), "capped", 42, 0, 2);
             }
             step();
         }
     }
 
-    /** Its own share, 42 units in that time, is a tenth: what the others have no use for comes to where it is asked for. */
+    /** A gateway's own share, a tenth, is 42 units in that time; it gets more, since the others transfer what they don't need. */
     @Test
-    void unitsOfACeilingComeToWhereTheyAreAskedFor() {
-        load(1, 0.1, 5); // stores fill
-        letIn.clear();
+    void ceilingUnitsAreTransferredToTheGatewayThatNeedsThem() {
+        load(1, 0.1, 5); // token buckets fill
+        admitted.clear();
         loadCapped(7, 20, () -> 3);
-        double got = letIn.get(0L);
-        assertTrue(got >= 2 * 42, "let in " + got);
+        double got = admitted.get(0L);
+        assertTrue(got >= 2 * 42, "units admitted: " + got);
     }
 
-    /** Rule 5 with losses, restarts and askings from everywhere, far beyond what the ceiling allows. */
+    /** Lost messages, restarts, and requests at all gateways far above the ceiling. */
     @Test
-    void aCeilingIsNeverPassedHoweverItsUnitsMove() {
+    void ceilingIsNeverExceededWhileItsUnitsAreTransferred() {
         for (int round = 0; round < 12; round++) {
-            loadCapped(6, 3, () -> 3); // units are on their way to one gateway while stores are full
-            int quiet = random.nextInt(WIDE);
-            loadCapped(80, 2, () -> random.nextInt(WIDE));
+            loadCapped(6, 3, () -> 3); // units are in transit to one gateway while token buckets are full
+            int quiet = random.nextInt(SET_SIZE);
+            loadCapped(80, 2, () -> random.nextInt(SET_SIZE));
             loadCapped(60, 1, () -> random.nextInt(2) * quiet);
             restart(random.nextInt(GATEWAYS));
             loadCapped(1, 3, () -> 5);
         }
         double slack = -FakeGateway.CAPPED.ceilingSlack();
-        assertTrue(lowest >= slack, "true store fell to " + lowest);
-        assertTrue(lowest <= 30, "and was used at all: " + lowest);
+        assertTrue(lowestCeiling >= slack, "the true token bucket fell to " + lowestCeiling);
+        assertTrue(lowestCeiling <= 30, "the ceiling has to be used for the test to prove anything: " + lowestCeiling);
     }
 
-    private static byte[] used(int life, int count, UsageMessage.Entry entry) {
-        return new UsageMessage(life, count, List.of(entry), List.of(), List.of()).bytes();
+    private static byte[] usageMessage(int incarnation, int count, UsageMessage.Entry entry) {
+        return new UsageMessage(incarnation, count, List.of(entry), List.of(), List.of()).bytes();
     }
 
     private long refused() {
-        return all.stream().mapToLong(g -> g.refused.size()).sum();
+        return gateways.stream().mapToLong(g -> g.refused.size()).sum();
     }
 
-    /** Once a third of all tries was refused with half of the quota unused: questions waited for their turn. */
+    /** With admission queries, a third of all requests was refused with half of the quota unused, since queries were queued. */
     @Test
-    void customersWithRoomAreServedWithoutAQuestion() {
+    void customersBelowTheirQuotaAreServed() {
         load(150, 0.45, 10);
-        assertTrue(refused() <= 0.01 * asked, refused() + " of " + asked + " refused");
-        assertEquals(0, dropped, "messages beyond the intake, beside " + heard);
+        assertTrue(refused() <= 0.01 * requestCount, refused() + " of " + requestCount + " requests refused");
+        assertEquals(0, droppedMessages, "messages above the limit per second, beside " + received);
     }
 
     @Test
-    void aCustomerThatAsksFarTooMuchGetsItsQuotaAndLittleMore() {
+    void customerFarAboveItsQuotaGetsItsQuotaAndLittleMore() {
         int seconds = 20;
         load(1, 4, seconds);
         double quota = BURST + RATE * seconds;
-        double got = letIn.get(0L);
+        double got = admitted.get(0L);
         assertTrue(got >= 0.8 * quota && got <= 1.25 * quota, got + " of " + quota);
     }
 
-    /** A returned gateway takes over what its peers see of a store, and doesn't grant the burst anew. */
+    /** A restarted gateway adopts the fill levels that its peers report, and does not grant the burst again. */
     @Test
-    void aHerdThatReturnsDoesNotGrantTheBurstsAgain() {
+    void restartOfMostGatewaysDoesNotGrantTheBurstsAgain() {
         load(5, 3, 10);
         for (int i = 0; i < GATEWAYS - 2; i++) {
             restart(i);
         }
         for (int i = 0; i < 500 / STEP_MS; i++) {
-            step(); // the start of a gateway, in which it hears its peers
+            step(); // the start phase of a gateway, in which it learns from its peers
         }
-        letIn.clear();
+        admitted.clear();
         int seconds = 10;
         load(5, 3, seconds);
         double quota = 5 * RATE * (seconds + 0.5);
-        double got = letIn.get(0L);
+        double got = admitted.get(0L);
         assertTrue(got >= 0.7 * quota && got <= 1.25 * quota, got + " of " + quota);
     }
 
     /**
-     * Once a returned gateway charged a customer with all that a peer had let in over its whole life, where it first
-     * heard of the customer late.
+     * A restarted gateway that first learned of a customer late used to charge the customer with everything that a peer had
+     * admitted in its whole incarnation.
      */
     @Test
-    void aReturnDoesNotChargeWhatWasUsedBeforeIt() {
-        FakeGateway g = all.get(0);
+    void restartedGatewayDoesNotChargeEarlierUse() {
+        FakeGateway g = gateways.get(0);
         g.pass(3000);
         UsageMessage.Entry use = new UsageMessage.Entry(7, 0, UsageMessage.usedField(400), 1, 0.75);
-        g.engine.onPeerMessage(g.now, 3, used(500, 9, use)); // a life that began before this one
+        g.engine.onPeerMessage(g.now, 3, usageMessage(500, 9, use)); // an incarnation that began before this gateway's
         UsageMessage.Entry young = new UsageMessage.Entry(7, 0, UsageMessage.usedField(5), 1, 1);
-        g.engine.onPeerMessage(g.now, 4, used(2500, 1, young)); // and one after it
-        for (int i = 0; i < 12; i++) { // 12 units of burst, a quarter gone when first heard of, then five more
-            g.ask("q" + i, "read", "small", 7, 1, WIDE);
+        g.engine.onPeerMessage(g.now, 4, usageMessage(2500, 1, young)); // and one that began after it
+        for (int i = 0; i < 12; i++) { // 12 units of burst, a quarter used before the first report, then five more
+            g.ask("q" + i, "read", "small", 7, 1, SET_SIZE);
         }
-        assertTrue(g.sent.size() >= 3 && g.sent.size() <= 4, g.sent.size() + " let in");
+        assertTrue(g.sent.size() >= 3 && g.sent.size() <= 4, g.sent.size() + " requests admitted");
     }
 
-    /** Damaged, replayed, foreign and absurd messages change no book and add no customer without bound. */
+    /** Damaged, replayed, foreign and malformed messages change no ledger and do not add customers without a limit. */
     @Test
-    void whatIsNoMessageOfAPeerIsIgnored() {
-        FakeGateway g = all.get(0);
-        byte[] good = used(1500, 1, new UsageMessage.Entry(7, 0, UsageMessage.usedField(9), 1, 1));
-        byte[] otherPlan = used(1500, 2, new UsageMessage.Entry(7, 99, UsageMessage.usedField(9), 1, 0));
-        g.pass(2000); // it learns no more
+    void invalidMessagesAreIgnored() {
+        FakeGateway g = gateways.get(0);
+        byte[] good = usageMessage(1500, 1, new UsageMessage.Entry(7, 0, UsageMessage.usedField(9), 1, 1));
+        byte[] otherPlan = usageMessage(1500, 2, new UsageMessage.Entry(7, 99, UsageMessage.usedField(9), 1, 0));
+        g.pass(2000); // the learning phase is over
         g.engine.onPeerMessage(g.now, 3, good);
         g.engine.onPeerMessage(g.now, 3, good); // replayed
         g.engine.onPeerMessage(g.now, 3, Arrays.copyOf(good, good.length - 1));
@@ -239,13 +240,13 @@
         g.engine.onPeerMessage(g.now, 3, new byte[0]);
         g.engine.onPeerMessage(g.now, 3, otherPlan);
         g.engine.onPeerMessage(g.now, 0, good); // from itself
-        g.engine.onPeerMessage(g.now, 77, good); // from a stranger
+        g.engine.onPeerMessage(g.now, 77, good); // from an unknown peer
         byte[] damaged = good.clone();
         damaged[damaged.length - 1]++;
         g.engine.onPeerMessage(g.now, 4, damaged);
-        for (int i = 0; i < 12; i++) { // 12 units of burst less the 9 that a peer let in
-            g.ask("q" + i, "read", "small", 7, 1, WIDE);
+        for (int i = 0; i < 12; i++) { // 12 units of burst less the 9 that a peer admitted
+            g.ask("q" + i, "read", "small", 7, 1, SET_SIZE);
         }
-        assertTrue(g.sent.size() == 2 || g.sent.size() == 3, g.sent.size() + " let in");
+        assertTrue(g.sent.size() == 2 || g.sent.size() == 3, g.sent.size() + " requests admitted");
     }
 }
--- a/gateway/src/test/java/marlford/gateway/LatePolicy.java
+++ b/gateway/src/test/java/marlford/gateway/LatePolicy.java
@@ -6,55 +6,56 @@
 import java.util.Map;
 
 /**
- * One policy for a whole tier that sees every store as it truly was some time ago, whichever gateway a request comes
- * through: what no exchange of messages can do much better than. What passes beyond quotas is held against it.
+ * A reference policy for a whole tier: whichever gateway a request uses, it sees each token bucket's true state as of
+ * {@value #VIEW_DELAY_MS} ms ago. No exchange of messages can do much better, so quota overruns are compared with it.
  */
 public final class LatePolicy {
-    static final double LATE_MS = 100; // two ways of a message, and one that is lost in ten
+    static final double VIEW_DELAY_MS = 100; // transit of two messages, one in ten of which is lost
 
-    private record Seen(double at, double level) { }
+    /** The level of a token bucket at a time. */
+    private record Level(double at, double level) { }
 
-    private final Map<Object, ArrayDeque<Seen>> seen = new HashMap<>();
-    private final Map<Object, double[]> stores = new HashMap<>(); // level, and since when
-    private double beyond;
-    private double sent;
+    private final Map<Object, ArrayDeque<Level>> history = new HashMap<>();
+    private final Map<Object, double[]> buckets = new HashMap<>(); // level, and its time
+    private double overrunUnits;
+    private double admittedUnits;
 
-    /** A request of a customer, whose store fills by {@code rate} units a second up to {@code burst}. */
+    /** Decides on a request of a customer whose token bucket fills by {@code rate} units a second up to {@code burst}. */
     public void ask(Object customer, double rate, double burst, double units, double now) {
-        double[] store = stores.computeIfAbsent(customer, k -> new double[] {burst, now});
-        store[0] = Math.min(burst, store[0] + (now - store[1]) / 1000 * rate);
-        store[1] = now;
-        ArrayDeque<Seen> past = seen.computeIfAbsent(customer, k -> new ArrayDeque<>());
-        while (past.size() > 1 && second(past).at() <= now - LATE_MS) {
-            past.poll();
+        double[] bucket = buckets.computeIfAbsent(customer, k -> new double[] {burst, now});
+        bucket[0] = Math.min(burst, bucket[0] + (now - bucket[1]) / 1000 * rate);
+        bucket[1] = now;
+        ArrayDeque<Level> levels = history.computeIfAbsent(customer, k -> new ArrayDeque<>());
+        while (levels.size() > 1 && second(levels).at() <= now - VIEW_DELAY_MS) {
+            levels.poll();
         }
-        boolean known = !past.isEmpty() && past.peek().at() <= now - LATE_MS;
-        double level = known
-                ? Math.min(burst, past.peek().level() + (now - LATE_MS - past.peek().at()) / 1000 * rate) : burst;
+        boolean hasDelayedView = !levels.isEmpty() && levels.peek().at() <= now - VIEW_DELAY_MS;
+        double level = hasDelayedView
+                ? Math.min(burst, levels.peek().level() + (now - VIEW_DELAY_MS - levels.peek().at()) / 1000 * rate) : burst;
         if (level >= units) {
-            sent += units;
-            if (store[0] < units) {
-                beyond += units;
+            admittedUnits += units;
+            if (bucket[0] < units) {
+                overrunUnits += units;
             } else {
-                store[0] -= units;
+                bucket[0] -= units;
             }
-            past.add(new Seen(now, store[0]));
+            levels.add(new Level(now, bucket[0]));
         }
     }
 
-    private static Seen second(ArrayDeque<Seen> past) {
-        Iterator<Seen> it = past.iterator();
+    private static Level second(ArrayDeque<Level> levels) {
+        Iterator<Level> it = levels.iterator();
         it.next();
         return it.next();
     }
 
-    /** Of each unit that it let in, what went beyond quotas. */
+    /** The share of all admitted units that exceeded quotas. */
     public double cost() {
-        return beyond / Math.max(1, sent);
+        return overrunUnits / Math.max(1, admittedUnits);
     }
 
-    /** Counts begin anew; the stores stay. */
+    /** Resets the counts, but not the token buckets. */
     public void mark() {
-        beyond = sent = 0;
+        overrunUnits = admittedUnits = 0;
     }
 }
