--- a/gateway/src/main/java/marlford/gateway/net/AdminCommandHandler.java
+++ b/gateway/src/main/java/marlford/gateway/net/AdminCommandHandler.java
@@ -5,35 +5,37 @@
 import marlford.gateway.console.AdminCommands;
 
 /**
- * What operators ask of a node, handed from the console's loop to the node's own. What the console must know at once is
- * published here by the node's loop, so that no answer waits for it.
+ * Passes commands of operators from the console's event loop to the node's. State that the console needs immediately is
+ * published here by the node's event loop, so that no console request has to wait for it.
  */
 final class AdminCommandHandler implements AdminCommands {
     private final Executor loop;
     private final Runnable quiesce;
     private final Runnable resume;
-    private final Runnable leaveOut;
+    private final Runnable applyExclusions;
     private volatile boolean ready;
-    private volatile Set<String> listed = Set.of();
+    private volatile Set<String> listedHosts = Set.of();
 
-    /** @param loop runs the others, in their order */
-    AdminCommandHandler(Executor loop, Runnable quiesce, Runnable resume, Runnable leaveOut) {
+    /** @param loop runs the other parameters, in the order in which the commands arrive */
+    AdminCommandHandler(Executor loop, Runnable quiesce, Runnable resume, Runnable applyExclusions) {
         this.loop = loop;
         this.quiesce = quiesce;
         this.resume = resume;
-        this.leaveOut = leaveOut;
+        this.applyExclusions = applyExclusions;
     }
 
-    void ready(boolean now) {
+    /** Publishes whether the gateway serves clients. */
+    void setReady(boolean now) {
         ready = now;
     }
 
-    void listed(Set<String> hosts) {
-        listed = hosts;
+    /** Publishes the hosts that discovery lists. */
+    void setListedHosts(Set<String> hosts) {
+        listedHosts = hosts;
     }
 
-    int listedCount() {
-        return listed.size();
+    int listedHostCount() {
+        return listedHosts.size();
     }
 
     @Override
@@ -43,7 +45,7 @@
 
     @Override
     public boolean knows(String host) {
-        return listed.contains(host);
+        return listedHosts.contains(host);
     }
 
     @Override
@@ -58,6 +60,6 @@
 
     @Override
     public void leftOutChanged() {
-        loop.execute(leaveOut);
+        loop.execute(applyExclusions);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/Attempt.java
+++ b/gateway/src/main/java/marlford/gateway/net/Attempt.java
@@ -5,58 +5,58 @@
 import io.netty.util.concurrent.Future;
 import marlford.gateway.EngineApi.Outcome;
 
-/** One attempt of an open request at one host. */
+/** One attempt of an open request, sent to one host. Used on the event loop. */
 final class Attempt extends HostConnection.Exchange {
     final OpenRequest owner;
     final int number;
     final String host;
-    double sentAt; // of a long body, when its last byte left
+    double sentAtMs; // start of the attempt; for a long body, when its last byte was written
     private final Node node;
-    boolean left; // for its host
+    boolean writeStarted;
     boolean ended;
     Outcome outcome; // null until ended
-    double streamedAt; // when its answer began to go to the client as it comes; 0: it does not
-    private Future<?> timeout;
+    double streamedAtMs; // when the answer began to be streamed to the client; 0 if it is not streamed
+    private Future<?> timeoutTimer;
 
-    Attempt(Node node, OpenRequest owner, String host, double sentAt) {
+    Attempt(Node node, OpenRequest owner, String host, double sentAtMs) {
         this.node = node;
         this.owner = owner;
         this.number = owner.attempts.size();
         this.host = host;
-        this.sentAt = sentAt;
+        this.sentAtMs = sentAtMs;
     }
 
-    /** Its end stops this timer, or there would be one for each attempt of the last minutes. */
-    void limit(Future<?> timer) {
-        timeout = timer;
+    /** Sets the timer that {@link #stopTimer} cancels; otherwise timers of all attempts of the last minutes would accumulate. */
+    void setTimeoutTimer(Future<?> timer) {
+        timeoutTimer = timer;
     }
 
     void stopTimer() {
-        if (timeout != null) {
-            timeout.cancel(false);
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
     }
 
-    /** The connection may have come up late, and the client may have left meanwhile. */
+    /** Checks the request again, because connecting takes time and the client may have disconnected meanwhile. */
     @Override
     void connected() {
-        node.endIfClientLeft(owner);
-        if (!ended && !node.mayLeave(this)) {
-            node.giveUp(this, Outcome.CONNECT_FAILED);
+        node.endIfClientDisconnected(owner);
+        if (!ended && !node.maySend(this)) {
+            node.abandonAttempt(this, Outcome.CONNECT_FAILED);
         }
     }
 
     @Override
     void written() {
         if (owner.message instanceof StreamedRequest) {
-            sentAt = node.clock.now();
+            sentAtMs = node.clock.now();
         }
         node.figures.sent();
     }
 
     @Override
     HostConnection.Sink streams(HttpResponse head, Runnable more) {
-        return node.streams(this, head, more);
+        return node.startStreaming(this, head, more);
     }
 
     @Override
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -33,71 +33,76 @@
 import marlford.gateway.guard.Rule;
 import marlford.gateway.shutdown.LingeringClose;
 
-/** One client connection: one request at a time, in order; what is sent ahead waits its turn. */
+/**
+ * The gateway's end of one client connection. Requests are processed one at a time and answered in order; requests that
+ * the client sends ahead wait in a queue. Runs on the event loop.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    private static final int PIPELINED = 16; // requests read ahead on one connection; then reading stops
-    private static final int HEAD_BYTES = 1024; // that a request read ahead takes in memory beside its body
-    private static final int LOOKED_AHEAD = 256 * 1024; // bytes read ahead on one connection to look for the client's end
-    private static final int LOOKED_AHEAD_IN_ALL = 4 * 1024 * 1024; // the same on all connections
-    private static final double UNSEEN_MS = 40; // a client seen so lately is not looked for again: half of what is allowed
-    private static final double JUST_OPENED_MS = 50;
-    private static final int FAULTS = 2; // bad requests on a connection, from which it is read only now and then
-    private static final long PAUSE_MS = 200; // such a connection is not read for so long after each
-    private static final double BODY_BYTES_PER_MS = 64; // that a client sends at least, by the protocol
-    private static final double LENGTH_GUESSED = 1 << 20; // bytes of a long body whose length is not told
+    private static final int MAX_QUEUED_REQUESTS = 16; // read ahead on one connection before reading pauses
+    private static final int QUEUED_HEAD_BYTES = 1024; // memory counted for a queued request in addition to its body
+    // Bounds on the input that is read ahead to find out whether a client is still connected.
+    private static final int MAX_READ_AHEAD_BYTES = 256 * 1024; // on one connection
+    private static final int MAX_TOTAL_READ_AHEAD_BYTES = 4 * 1024 * 1024; // on all connections
+    private static final double PRESENCE_VALID_MS = 40; // for this time a check is not repeated: half of the permitted delay
+    private static final double JUST_OPENED_MS = 50; // a first request within this time may have arrived with the connection
+    private static final int BAD_REQUEST_LIMIT = 2; // from this number on, each bad request pauses reading
+    private static final long BAD_REQUEST_PAUSE_MS = 200;
+    private static final double MIN_UPLOAD_BYTES_PER_MS = 64; // slowest client that the protocol allows
+    private static final double ASSUMED_BODY_BYTES = 1 << 20; // for a long body without a declared length
     private static final double MS_PER_SECOND = 1000;
-    private static final String READY = "/healthz";
+    private static final String HEALTH_PATH = "/healthz";
 
-    /** What a look into a client's socket says; unknown where too much unread stands in front of its end. */
-    enum Presence { CONNECTED, LEFT, UNKNOWN }
+    /** Result of a presence check. UNKNOWN means that too much unread input stands in front of a possible end of the connection. */
+    enum Presence { CONNECTED, DISCONNECTED, UNKNOWN }
 
-    /** What was read and waits its turn: its client's time counts from then. */
-    private record Waiting(Object message, double arrivedMs) { }
+    /** A message that was read and waits in the queue; the client's time limit counts from its arrival. */
+    private record QueuedMessage(Object message, double arrivedMs) { }
 
     private final Node node;
-    private final ClientConnectionRegistry places;
-    private final RequestParser terms;
+    private final ClientConnectionRegistry registry;
+    private final RequestParser requestParser;
     private final Channel channel;
     private final long number;
     private final double waitedMs;
     private final RequestReader reader;
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>(); // requests, and at the end what is unreadable
-    private final Runnable next = this::next;
-    private long waitingBytes;
-    private double seenAt; // the client was surely connected then
-    private boolean behind; // reading paused: what is read may be older than this loop is late
-    private long unsent; // bytes of output that had not left at the last look
-    private double outputAt; // when output was last seen to leave
-    private boolean hidden; // more is unread than is read ahead
-    private OpenRequest current;
-    private boolean busy;
+    private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>(); // requests, then possibly an UnreadableRequest
+    private final Runnable processNext = this::processNext;
+    private long queuedBytes;
+    private double lastSeenMs; // last time at which the client was certainly connected
+    private boolean readingPaused; // input may have waited for longer than the event loop lags, until the socket is drained
+    private long unsentBytes; // output that was not yet written to the socket at the last check
+    private double outputProgressMs; // last time at which output was seen to be written
+    private boolean inputHidden; // more input is unread than may be read ahead
+    private OpenRequest current; // the request being processed; null when none is open
+    private boolean busy; // a request is being processed, until it is answered and its body has been read
     private boolean keepAlive = true;
-    private boolean chunks; // the client reads answers of unknown length
-    private boolean ended; // the last answer is on its way
-    private double idleSince;
-    private int whole; // messages that came whole, of whatever kind
-    private int requests; // those of them that the module was to decide
-    private int faults;
-    private Runnable more; // of the answer that goes out as it comes; null where none does
-    private boolean paused;
-    private RequestBodyStream upload; // the rest of the body of the request under way; null where all of it is here
-    private boolean answered; // that request, though more of its body may come
-    private CloseReason closing; // null until this side ends the connection
-    private LingeringClose linger; // null until the last answer has left
+    private boolean acceptsChunked; // the client can read answers of unknown length
+    private boolean ended; // no further request is processed: the last answer was written, or the connection is closed
+    private double idleSinceMs;
+    private int receivedMessages; // complete or unreadable requests
+    private int engineRequests; // requests passed to the decision engine
+    private int badRequests;
+    private Runnable onWritable; // resumes the answer that is being streamed; null when there is none
+    private boolean paused; // reading is paused after bad requests
+    private RequestBodyStream upload; // rest of the current request's body; null when the body is buffered completely
+    private boolean answered; // the current request is answered, although more of its body may follow
+    private CloseReason closeReason; // null until this side closes the connection
+    private LingeringClose lingeringClose; // null until the last answer has been written
 
     /**
-     * @param number of the connection, counted from the process's start
-     * @param waitedMs for how long it may have waited to be accepted
+     * @param number of the connection, counted from the start of the process
+     * @param waitedMs for how long the connection may have waited to be accepted, in milliseconds
      */
-    ClientConnection(Node node, ClientConnectionRegistry places, RequestParser terms, Channel channel, long number, double waitedMs) {
+    ClientConnection(Node node, ClientConnectionRegistry registry, RequestParser requestParser, Channel channel, long number,
+            double waitedMs) {
         this.waitedMs = waitedMs;
         this.number = number;
         this.node = node;
-        this.places = places;
-        this.terms = terms;
+        this.registry = registry;
+        this.requestParser = requestParser;
         this.channel = channel;
-        this.seenAt = this.idleSince = node.clock.now();
-        this.reader = new RequestReader(node.clock, this::steer);
+        this.lastSeenMs = this.idleSinceMs = node.clock.now();
+        this.reader = new RequestReader(node.clock, this::updateReading);
     }
 
     void addTo(ChannelPipeline pipeline) {
@@ -107,27 +112,28 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        node.events.opened(number);
-        if (!places.take(this)) {
+        node.eventLog.opened(number);
+        if (!registry.admit(this)) {
             ended = true;
             close(CloseReason.HOUSE_FULL);
         }
     }
 
     /**
-     * Ends a connection whose last answer has left: what the client sends meanwhile is read and forgotten for a while, as a
-     * close over unread bytes would reset the connection, and the answer may not have reached the client by then.
+     * Closes a connection after its last answer. Input is read and discarded for a while first: closing a socket with unread
+     * input resets the connection, possibly before the answer has reached the client.
      */
-    private void hangUp(Future<? super Void> left) {
-        if (!left.isSuccess() || !(channel instanceof DuplexChannel) || !channel.isActive()) { // in memory nothing stands unread
-            close(left.isSuccess() ? CloseReason.LAST_ANSWER : CloseReason.LAST_ANSWER_FAILED);
+    private void closeLingering(Future<? super Void> written) {
+        // The in-memory transport has no sockets that could hold unread input.
+        if (!written.isSuccess() || !(channel instanceof DuplexChannel) || !channel.isActive()) {
+            close(written.isSuccess() ? CloseReason.LAST_ANSWER : CloseReason.LAST_ANSWER_FAILED);
             return;
         }
-        linger = new LingeringClose(node.clock.now());
-        places.linger(this);
-        freeWaiting();
-        reader.forget(bytes -> {
-            if (!linger.read(bytes)) {
+        lingeringClose = new LingeringClose(node.clock.now());
+        registry.addLingering(this);
+        discardQueue();
+        reader.discardInput(bytes -> {
+            if (!lingeringClose.read(bytes)) {
                 close(CloseReason.LAST_ANSWER);
             }
         });
@@ -135,152 +141,152 @@
         channel.config().setAutoRead(true);
     }
 
-    /** Takes its place among those that may give way, behind the others of its kind. */
-    void rest() {
-        if (!busy && !ended && waiting.isEmpty()) {
-            idleSince = node.clock.now();
-            places.rest(this, requests);
+    /** Registers the connection as idle, behind the other idle connections of its kind. Does nothing while it is in use. */
+    void markIdle() {
+        if (!busy && !ended && queue.isEmpty()) {
+            idleSinceMs = node.clock.now();
+            registry.markIdle(this, engineRequests);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        places.leave(this);
+        registry.remove(this);
         ended = true;
-        freeWaiting();
+        discardQueue();
         if (upload != null) {
             upload.drop();
         }
-        OpenRequest left = current;
+        OpenRequest unanswered = current;
         current = null;
-        node.events.closed(number, closing == null ? CloseReason.BY_CLIENT : closing, left == null ? null : left.request.id());
-        if (left != null) {
-            node.clientLeft(left);
+        node.eventLog.closed(number, closeReason == null ? CloseReason.BY_CLIENT : closeReason,
+                unanswered == null ? null : unanswered.request.id());
+        if (unanswered != null) {
+            node.onClientDisconnected(unanswered);
         }
     }
 
-    /** What was sent ahead gets no answer any more. */
-    private void freeWaiting() {
-        List<Waiting> ahead = List.copyOf(waiting);
-        waiting.clear(); // first, as letting go of a body may look here
-        places.readAhead(-waitingBytes);
-        waitingBytes = 0;
-        ahead.forEach(w -> StreamedRequest.free(w.message()));
+    /** Discards the queued requests, which get no answer any more. */
+    private void discardQueue() {
+        List<QueuedMessage> discarded = List.copyOf(queue);
+        queue.clear(); // before the messages are released, because releasing a body may call back into this connection
+        registry.adjustReadAheadBytes(-queuedBytes);
+        queuedBytes = 0;
+        discarded.forEach(queued -> StreamedRequest.discard(queued.message()));
     }
 
-    /** Since when it has been idle, on the node's clock. */
-    double idleSince() {
-        return idleSince;
+    /** Returns since when the connection has been idle, in milliseconds on the node's clock. */
+    double idleSinceMs() {
+        return idleSinceMs;
     }
 
     Channel channel() {
         return channel;
     }
 
-    /** Ends the connection; the first reason counts. */
-    void close(CloseReason why) {
-        if (closing == null) {
-            closing = why;
-            boolean owed = current != null || !waiting.isEmpty();
-            if (owed && why.isChosen() && channel.isActive()) {
+    /** Closes the connection; only the first reason is recorded. */
+    void close(CloseReason reason) {
+        if (closeReason == null) {
+            closeReason = reason;
+            boolean answerDue = current != null || !queue.isEmpty();
+            if (answerDue && reason.isWithoutClientFault() && channel.isActive()) {
                 node.rules.broken(Rule.CLOSED_UNANSWERED);
             }
         }
         channel.close();
     }
 
-    /** Whether it is read on for a while after its last answer. */
+    /** Whether input is still read and discarded after the last answer. */
     boolean lingers(double now) {
-        return linger.goesOn(now);
+        return lingeringClose.goesOn(now);
     }
 
     /**
-     * Reads what stands in its socket; whether nothing came of it, so that the connection may be closed. Closing a request away
-     * would lose it.
+     * Reads pending input from the socket and returns whether the connection can be closed without losing a request.
      *
-     * @param unused no request came yet: there half a one counts for nothing
+     * @param unused whether no request has arrived on the connection yet; then an incomplete request does not prevent the close
      */
-    boolean isFree(boolean unused) {
-        int before = whole;
+    boolean isClosable(boolean unused) {
+        int receivedBefore = receivedMessages;
         if (channel.isActive() && channel.config().isAutoRead()) {
             Transport.readNow(channel);
         }
-        return whole == before && waiting.isEmpty() && !isAsking(unused);
+        return receivedMessages == receivedBefore && queue.isEmpty() && !hasIncompleteRequest(unused);
     }
 
-    /** Whether half a request has come, which is more than none. */
-    boolean isAsking(boolean unused) {
-        return !unused && reader.unfinished();
+    /** Whether an incomplete request has arrived on a connection that has carried a request before. */
+    boolean hasIncompleteRequest(boolean unused) {
+        return !unused && reader.hasIncompleteRequest();
     }
 
-    /** Looks at what the client does: where it has stopped, the connection ends with an error or without one. */
+    /** Ends the connection if the client has stopped sending or reading: with status 408 where one can be sent. */
     void endIfStopped() {
         if (!paused && !(channel.config().isAutoRead() && reader.isDrained())) {
-            readToEnd(); // nothing else reads it, and its client may stop all the same
+            readToEnd(); // reading is paused, so this is the only way to notice that the client has stopped
         }
         if (judge() == Stopped.NO) {
             return;
         }
-        readToEnd(); // what stands in the socket was not late, this loop was
-        Stopped how = judge();
-        if (how != Stopped.NO && channel.isActive()) {
-            end(how);
+        readToEnd(); // input that already waits in the socket is late only because of this event loop
+        Stopped stopped = judge();
+        if (stopped != Stopped.NO && channel.isActive()) {
+            endStopped(stopped);
         }
     }
 
     private Stopped judge() {
-        seeOutput();
+        recordOutputProgress();
         return ClientProgress.judge(node.clock.now(), progress());
     }
 
     private ClientProgress.Connection progress() {
-        boolean answerDue = busy && (upload == null || upload.over());
-        return new ClientProgress.Connection(idleSince, whole > 0, reader.input(), !waiting.isEmpty(), answerDue, ended,
-                unsent > 0, outputAt);
+        boolean answerDue = busy && (upload == null || upload.isComplete());
+        return new ClientProgress.Connection(idleSinceMs, receivedMessages > 0, reader.input(), !queue.isEmpty(), answerDue, ended,
+                unsentBytes > 0, outputProgressMs);
     }
 
-    /** Notes whether output has left since the last look. */
-    private void seeOutput() {
+    /** Records whether output has been written to the socket since the last check. */
+    private void recordOutputProgress() {
         ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
-        long now = buffer == null ? 0 : buffer.totalPendingWriteBytes();
-        if (now != unsent || now == 0) {
-            outputAt = node.clock.now();
+        long pendingBytes = buffer == null ? 0 : buffer.totalPendingWriteBytes();
+        if (pendingBytes != unsentBytes || pendingBytes == 0) {
+            outputProgressMs = node.clock.now();
         }
-        unsent = now;
+        unsentBytes = pendingBytes;
     }
 
-    private void end(Stopped how) {
-        node.rules.clientEnded(ClientProgress.stoppedMs(node.clock.now(), how, progress()));
+    private void endStopped(Stopped stopped) {
+        node.rules.clientEnded(ClientProgress.stoppedMs(node.clock.now(), stopped, progress()));
         keepAlive = false;
-        if (how == Stopped.READING) { // no switch: its class would be loaded here, perhaps with no descriptor left
-            channel.config().setOption(ChannelOption.SO_LINGER, 0); // else what it does not read would stand ahead of the end
+        if (stopped == Stopped.READING) { // not a switch, whose helper class might have to be loaded with no descriptor left
+            channel.config().setOption(ChannelOption.SO_LINGER, 0); // discards unread output, which would precede the close
             close(CloseReason.STALLED_OUTPUT);
-        } else if (how == Stopped.BEFORE_FIRST_REQUEST) {
-            places.leave(this);
+        } else if (stopped == Stopped.BEFORE_FIRST_REQUEST) {
+            registry.remove(this);
             close(CloseReason.SILENT);
         } else if (upload != null) {
-            close(CloseReason.STALLED_BODY); // no answer would be heard ahead of the body's end
+            close(CloseReason.STALLED_BODY); // a client does not read an answer before it has sent the whole body
         } else {
-            closing = CloseReason.STALLED_REQUEST;
-            answer(HttpResponseStatus.REQUEST_TIMEOUT, 0);
+            closeReason = CloseReason.STALLED_REQUEST;
+            sendStatus(HttpResponseStatus.REQUEST_TIMEOUT, 0);
         }
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event instanceof RequestReader.BodyRead) { // not at once: the socket is just being read
-            node.loop.execute(() -> confirm(((RequestReader.BodyRead) event).body()));
+        if (event instanceof RequestReader.BodyReceived) { // deferred, because the socket is being read right now
+            node.loop.execute(() -> confirmBody(((RequestReader.BodyReceived) event).body()));
             return;
         }
-        if (event == RequestReader.Asks.TO_GO_ON) {
-            tellToGoOn();
+        if (event == RequestReader.ClientSignal.EXPECTS_CONTINUE) {
+            sendContinue();
         }
     }
 
-    /** Not ahead of an answer that is still due, as it would be taken to belong to that one: then the client waits. */
-    private void tellToGoOn() {
-        if (reader.asksToGoOn() && !busy && !ended && waiting.isEmpty()) {
-            reader.toldToGoOn();
+    /** Sends 100 Continue, unless an answer is still due: the client would take it to belong to that answer. */
+    private void sendContinue() {
+        if (reader.expectsContinue() && !busy && !ended && queue.isEmpty()) {
+            reader.continueSent();
             channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
                     Unpooled.EMPTY_BUFFER), channel.voidPromise());
         }
@@ -289,101 +295,105 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (ended) {
-            StreamedRequest.free(message);
+            StreamedRequest.discard(message);
             return;
         }
-        if (upload != null && !upload.over()) { // a body that can't be read: its request will never be whole
+        if (upload != null && !upload.isComplete()) { // the body is unreadable, so its request can't be completed
             close(CloseReason.UNREADABLE_BODY);
             return;
         }
-        whole++;
-        queue(message);
-        if (!behind) {
-            seenAt = node.clock.now() - node.lag.ms(); // what a late loop reads may have stood in the socket for so long
+        receivedMessages++;
+        enqueue(message);
+        if (!readingPaused) {
+            lastSeenMs = node.clock.now() - node.lag.ms(); // the input may have waited in the socket while the loop lagged
         }
-        if (isUnseen()) {
-            node.loop.execute(next); // once an end that stands right behind this could be read
+        if (isPresenceOutdated()) {
+            node.loop.execute(processNext); // after the end of the connection, if it directly follows, has been read
         } else {
-            next();
+            processNext();
         }
-        steer();
+        updateReading();
     }
 
-    private void queue(Object message) {
+    private void enqueue(Object message) {
         double now = node.clock.now();
-        double late = Math.max(node.lag.ms(), reader.unreadMs()); // so long it may have stood in its socket
-        if (whole == 1 && now - idleSince < JUST_OPENED_MS) { // it came with the connection
-            late = Math.max(late, waitedMs + now - idleSince);
+        double lateMs = Math.max(node.lag.ms(), reader.unreadMs()); // longest time that the message may have waited in its socket
+        if (receivedMessages == 1 && now - idleSinceMs < JUST_OPENED_MS) { // it may have arrived together with the connection
+            lateMs = Math.max(lateMs, waitedMs + now - idleSinceMs);
         }
-        waiting.add(new Waiting(message, now - late));
-        waitingBytes += size(message);
-        places.readAhead(size(message));
+        queue.add(new QueuedMessage(message, now - lateMs));
+        queuedBytes += sizeInQueue(message);
+        registry.adjustReadAheadBytes(sizeInQueue(message));
     }
 
-    private Waiting unqueue() {
-        Waiting next = waiting.poll();
-        waitingBytes -= size(next.message());
-        places.readAhead(-size(next.message()));
+    private QueuedMessage dequeue() {
+        QueuedMessage next = queue.poll();
+        queuedBytes -= sizeInQueue(next.message());
+        registry.adjustReadAheadBytes(-sizeInQueue(next.message()));
         return next;
     }
 
-    private static int size(Object message) {
-        return HEAD_BYTES + (message instanceof ByteBufHolder ? ((ByteBufHolder) message).content().readableBytes() : 0);
+    private static int sizeInQueue(Object message) {
+        return QUEUED_HEAD_BYTES + (message instanceof ByteBufHolder ? ((ByteBufHolder) message).content().readableBytes() : 0);
     }
 
-    private boolean isUnseen() {
-        return node.clock.now() - seenAt > UNSEEN_MS;
+    private boolean isPresenceOutdated() {
+        return node.clock.now() - lastSeenMs > PRESENCE_VALID_MS;
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (more != null && channel.isWritable()) {
-            more.run();
+        if (onWritable != null && channel.isWritable()) {
+            onWritable.run();
         }
-        next();
+        processNext();
     }
 
-    /** Goes on with what was sent ahead, but only as fast as the client takes the answers. */
-    private void next() {
-        while (!busy && !ended && !waiting.isEmpty() && channel.isWritable()) {
-            Waiting first = unqueue();
+    /** Processes queued requests, but only as fast as the client reads the answers. */
+    private void processNext() {
+        while (!busy && !ended && !queue.isEmpty() && channel.isWritable()) {
+            QueuedMessage first = dequeue();
             Object message = first.message();
-            steer();
+            updateReading();
             busy = true;
             answered = false;
             upload = StreamedRequest.restOf(message);
-            places.inUse(this);
-            if (message instanceof RequestReader.Unreadable) {
-                keepAlive = false; // where the next request would begin is not known
-                answer(((RequestReader.Unreadable) message).status(), 0);
+            registry.markInUse(this);
+            if (message instanceof RequestReader.UnreadableRequest) {
+                keepAlive = false; // the start of the next request is unknown
+                sendStatus(((RequestReader.UnreadableRequest) message).status(), 0);
             } else {
                 handle((FullHttpRequest) message, first.arrivedMs());
             }
         }
     }
 
-    /** Reads on or pauses: while much waits, after faults, and where a body comes faster than its host takes it. */
-    private void steer() {
-        boolean fast = upload != null && upload.full() || isLongBodyAhead();
-        boolean reads = !paused && !fast && waiting.size() < PIPELINED;
-        if (!reads && channel.config().isAutoRead()) {
+    /**
+     * Pauses or resumes reading. Reading pauses while many requests are queued, after bad requests, and while a body arrives
+     * faster than its host takes it.
+     */
+    private void updateReading() {
+        boolean bodyTooFast = upload != null && upload.isFull() || isLongBodyAhead();
+        boolean mayRead = !paused && !bodyTooFast && queue.size() < MAX_QUEUED_REQUESTS;
+        if (!mayRead && channel.config().isAutoRead()) {
             reader.pause();
         }
-        behind |= !reads;
-        channel.config().setAutoRead(reads);
-        if (answered && upload != null && upload.over()) {
-            release();
+        readingPaused |= !mayRead;
+        channel.config().setAutoRead(mayRead);
+        if (answered && upload != null && upload.isComplete()) {
+            completeRequest();
         }
     }
 
     /**
-     * Whether the client is still connected. Its end stands behind what it sent, so that is read where it was not for
-     * {@value #UNSEEN_MS} ms, within the bounds of what is read ahead. Until a body is whole nobody need look: its last part is
-     * held back. The module is to be told of an end by the caller, as the channel's own word of it comes later.
+     * Checks whether the client is still connected. The end of a connection follows all input, so pending input is read up to
+     * the read-ahead bounds unless that was done within the last {@value #PRESENCE_VALID_MS} ms. No check is needed while a
+     * body is incomplete, because its last part is held back. The caller must end the request of a disconnected client
+     * itself, as channelInactive is called only later.
      */
-    Presence look() {
-        boolean bodyComes = upload != null && !upload.over();
-        if (channel.isActive() && (bodyComes || reader.reading() || !isUnseen())) {
+    Presence checkPresence() {
+        boolean bodyIncomplete = upload != null && !upload.isComplete();
+        if (channel.isActive() && (bodyIncomplete || reader.isReading() || !isPresenceOutdated())) {
             return Presence.CONNECTED;
         }
         return readToEnd();
@@ -392,133 +402,139 @@
     private Presence readToEnd() {
         while (channel.isActive()) {
             boolean full = hasReadAheadEnough();
-            if (full && hidden) {
+            if (full && inputHidden) {
                 return Presence.UNKNOWN;
             }
-            long before = reader.taken();
+            long receivedBefore = reader.receivedBytes();
             Transport.readNow(channel);
-            boolean nothing = reader.taken() == before;
-            hidden = full && !nothing;
-            if (hidden) {
+            boolean nothingRead = reader.receivedBytes() == receivedBefore;
+            inputHidden = full && !nothingRead;
+            if (inputHidden) {
                 reader.pause();
             }
-            if (channel.isActive() && nothing) {
-                reader.drained();
-                seenAt = node.clock.now();
-                behind = false;
+            if (channel.isActive() && nothingRead) {
+                reader.markDrained();
+                lastSeenMs = node.clock.now();
+                readingPaused = false;
                 return Presence.CONNECTED;
             }
         }
-        return Presence.LEFT;
+        return Presence.DISCONNECTED;
     }
 
     private boolean hasReadAheadEnough() {
-        boolean fullBody = upload != null && !upload.over() && upload.full();
-        return fullBody || isLongBodyAhead() || waitingBytes >= LOOKED_AHEAD || places.readAhead() >= LOOKED_AHEAD_IN_ALL;
+        boolean fullBody = upload != null && !upload.isComplete() && upload.isFull();
+        return fullBody || isLongBodyAhead() || queuedBytes >= MAX_READ_AHEAD_BYTES
+                || registry.readAheadBytes() >= MAX_TOTAL_READ_AHEAD_BYTES;
     }
 
-    /** Whether the last request that waits has a long body, of which as much was read as is kept. */
+    /** Whether the last queued request has a long body of which as much as fits has been read. */
     private boolean isLongBodyAhead() {
-        RequestBodyStream ahead = waiting.isEmpty() ? null : StreamedRequest.restOf(waiting.peekLast().message());
-        return ahead != null && ahead.full();
+        RequestBodyStream bodyStream = queue.isEmpty() ? null : StreamedRequest.restOf(queue.peekLast().message());
+        return bodyStream != null && bodyStream.isFull();
     }
 
-    /** A long body has come whole: its last part may go on where the client has not left behind it. */
-    private void confirm(RequestBodyStream body) {
-        if (readToEnd() != Presence.LEFT) {
+    /** Releases the last part of a completely received body, unless the client disconnected right after it. */
+    private void confirmBody(RequestBodyStream body) {
+        if (readToEnd() != Presence.DISCONNECTED) {
             body.confirm();
         }
     }
 
-    /** How long the rest of its body may take at the least speed that clients have; 0 where all is here. */
-    private double restMs() {
-        if (upload == null || upload.over()) {
+    /** Returns how long the rest of the body may take at the minimum client speed, in milliseconds; 0 when it is complete. */
+    private double remainingUploadMs() {
+        if (upload == null || upload.isComplete()) {
             return 0;
         }
-        return (upload.length() < 0 ? LENGTH_GUESSED : upload.length()) / BODY_BYTES_PER_MS;
+        return (upload.length() < 0 ? ASSUMED_BODY_BYTES : upload.length()) / MIN_UPLOAD_BYTES_PER_MS;
     }
 
     private void handle(FullHttpRequest request, double arrivedMs) {
         keepAlive = HttpUtil.isKeepAlive(request);
-        chunks = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
-        if (request.uri().equals(READY)) {
-            StreamedRequest.free(request);
-            answer(node.takesClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+        acceptsChunked = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
+        if (request.uri().equals(HEALTH_PATH)) {
+            StreamedRequest.discard(request);
+            sendStatus(node.isHealthy() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             return;
         }
         double now = node.clock.now();
-        double turn = now - node.lag.ms(); // the decision module holds it from its turn on, as it held nothing up before
-        Request read = terms.read(request, now, arrivedMs, Math.max(arrivedMs, turn), restMs());
-        if (read == null || node.knows(read.id())) {
-            boolean unknown = !request.headers().contains(RequestParser.ID);
-            StreamedRequest.free(request);
-            fault();
-            answer(unknown ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
-        } else if (node.full()) {
-            StreamedRequest.free(request);
-            node.events.refused(read.id(), node.isOver() ? EventLog.Refusal.ENDING : EventLog.Refusal.TOO_MANY_OPEN);
-            node.figures.ended(read.requestClass(), ServiceMetrics.End.DEFERRED);
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, node.config.settings().limits().maxRetryAfterMs());
+        // The engine holds the request from when its turn came on this connection; before that it held nothing up.
+        double turnMs = now - node.lag.ms();
+        Request parsed = requestParser.parse(request, now, arrivedMs, Math.max(arrivedMs, turnMs), remainingUploadMs());
+        if (parsed == null || node.knows(parsed.id())) {
+            boolean withoutId = !request.headers().contains(RequestParser.ID);
+            StreamedRequest.discard(request);
+            onBadRequest();
+            sendStatus(withoutId ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
+        } else if (node.refusesRequests()) {
+            StreamedRequest.discard(request);
+            node.eventLog.refused(parsed.id(), node.hasStoppedSending() ? EventLog.Refusal.ENDING : EventLog.Refusal.TOO_MANY_OPEN);
+            node.figures.ended(parsed.requestClass(), ServiceMetrics.End.DEFERRED);
+            sendStatus(HttpResponseStatus.SERVICE_UNAVAILABLE, node.config.settings().limits().maxRetryAfterMs());
         } else {
-            requests++;
-            node.events.taken(number, read.id());
-            node.taken(read, request, this);
+            engineRequests++;
+            node.eventLog.requestReceived(number, parsed.id());
+            node.onRequestReceived(parsed, request, this);
         }
     }
 
-    /** A client that goes on asking what can't be served gets its answers, but not all of the processor. */
-    private void fault() {
-        if (++faults < FAULTS || paused) {
+    /** Limits the processor time spent on a client that keeps sending requests that can't be served; each is still answered. */
+    private void onBadRequest() {
+        if (++badRequests < BAD_REQUEST_LIMIT || paused) {
             return;
         }
         paused = true;
-        steer();
+        updateReading();
         node.loop.schedule(() -> {
             paused = false;
             if (!ended) {
-                steer();
+                updateReading();
             }
-        }, PAUSE_MS, TimeUnit.MILLISECONDS);
+        }, BAD_REQUEST_PAUSE_MS, TimeUnit.MILLISECONDS);
     }
 
-    void holds(OpenRequest r) {
-        current = r;
+    void setCurrentRequest(OpenRequest request) {
+        current = request;
     }
 
-    /** Passes a host's answer on as it came. */
-    void serve(FullHttpResponse from) {
-        FullHttpResponse to = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                from.content().retain());
-        setType(from, to);
-        write(to);
+    /** Sends the complete answer of a host to the client. */
+    void sendHostAnswer(FullHttpResponse hostResponse) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
+                hostResponse.content().retain());
+        copyContentType(hostResponse, response);
+        writeAnswer(response);
     }
 
-    private void setType(HttpResponse from, HttpResponse to) {
-        String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
-        if (type != null && RequestParser.isWithin(type, ' ', '~')) { // else not to be passed on
-            to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+    private void copyContentType(HttpResponse hostResponse, HttpResponse response) {
+        String contentType = hostResponse.headers().get(HttpHeaderNames.CONTENT_TYPE);
+        if (contentType != null && RequestParser.isWithin(contentType, ' ', '~')) { // other characters must not be forwarded
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
         }
     }
 
-    /** Passes a long answer of a host on as it comes; null where this client could not tell its end. */
-    HostConnection.Sink stream(HttpResponse from, Runnable whenReady) {
-        long length = HttpUtil.getContentLength(from, -1L);
-        if (length < 0 && !chunks) {
+    /**
+     * Starts to stream a long answer of a host. Returns null when this client could not recognize the end of the answer.
+     *
+     * @param whenReady called when the connection becomes writable again
+     */
+    HostConnection.Sink startStreaming(HttpResponse hostResponse, Runnable whenReady) {
+        long length = HttpUtil.getContentLength(hostResponse, -1L);
+        if (length < 0 && !acceptsChunked) {
             return null;
         }
-        HttpResponse to = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        setType(from, to);
+        HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        copyContentType(hostResponse, response);
         if (length < 0) {
-            HttpUtil.setTransferEncodingChunked(to, true);
+            HttpUtil.setTransferEncodingChunked(response, true);
         } else {
-            HttpUtil.setContentLength(to, length);
+            HttpUtil.setContentLength(response, length);
         }
-        if (!keepAlive || node.sendsAway()) {
+        if (!keepAlive || node.releasesClients()) {
             keepAlive = false;
-            to.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        channel.write(to, channel.voidPromise());
-        more = whenReady;
+        channel.write(response, channel.voidPromise());
+        onWritable = whenReady;
         return new HostConnection.Sink() {
             @Override
             public void part(ByteBuf part) {
@@ -532,70 +548,71 @@
 
             @Override
             public void end(boolean whole) {
-                more = null;
+                onWritable = null;
                 if (whole) {
-                    finish(LastHttpContent.EMPTY_LAST_CONTENT, !keepAlive);
+                    finishAnswer(LastHttpContent.EMPTY_LAST_CONTENT, !keepAlive);
                 } else {
                     keepAlive = false;
-                    close(CloseReason.ANSWER_CUT); // before the promised end, so the client knows
+                    close(CloseReason.ANSWER_CUT); // the missing end tells the client that the answer is incomplete
                 }
             }
         };
     }
 
-    void answer(HttpResponseStatus status, double retryAfterMs) {
+    /** Sends an answer without a body; a positive delay is sent as Retry-After. */
+    void sendStatus(HttpResponseStatus status, double retryAfterMs) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.EMPTY_BUFFER);
         if (retryAfterMs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER,
                     Double.toString(Math.ceil(retryAfterMs) / MS_PER_SECOND));
         }
-        write(response);
+        writeAnswer(response);
     }
 
-    private void write(FullHttpResponse response) {
+    private void writeAnswer(FullHttpResponse response) {
         ByteBuf body = response.content();
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        boolean last = !keepAlive || node.sendsAway();
+        boolean last = !keepAlive || node.releasesClients();
         if (last) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        finish(response, last);
+        finishAnswer(response, last);
     }
 
-    /** Writes the end of an answer; what the client sent ahead comes next, unless this was the last one. */
-    private void finish(Object end, boolean last) {
+    /** Writes the end of an answer, then continues with the next request or closes the connection after the last one. */
+    private void finishAnswer(Object end, boolean last) {
         current = null;
         answered = true;
         if (last) {
             keepAlive = false;
         }
-        if (upload != null && !upload.over()) { // the client may send all of it before it reads
+        if (upload != null && !upload.isComplete()) { // the client may send the whole body before it reads the answer
             channel.writeAndFlush(end, channel.voidPromise());
             upload.drop();
         } else if (last) {
             ended = true;
-            channel.writeAndFlush(end).addListener(this::hangUp);
+            channel.writeAndFlush(end).addListener(this::closeLingering);
         } else {
             channel.writeAndFlush(end, channel.voidPromise());
-            release();
+            completeRequest();
         }
     }
 
-    /** The request is over, its body too: what the client sent ahead comes next, or the connection ends. */
-    private void release() {
+    /** Completes a request that is answered and whose body has been read: processes the next one or closes the connection. */
+    private void completeRequest() {
         upload = null;
         if (!keepAlive) {
             ended = true;
-            channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::hangUp);
+            channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::closeLingering);
             return;
         }
         busy = false;
-        if (waiting.isEmpty()) {
-            tellToGoOn();
-            rest();
-        } else { // not at once: an answer may be given while the request is being taken
-            node.loop.execute(next);
+        if (queue.isEmpty()) {
+            sendContinue();
+            markIdle();
+        } else { // deferred, because the answer may be given while the request is still being handed over
+            node.loop.execute(processNext);
         }
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnectionRegistry.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnectionRegistry.java
@@ -4,85 +4,89 @@
 import java.util.List;
 
 /**
- * The connections of clients: which are open, which of them are idle and of what kind, and which gives way where there are
- * too many. On the event loop.
+ * The open client connections: which of them are idle and of what kind, and which is evicted when there are too many. Not
+ * thread-safe; used on the event loop.
  */
 final class ClientConnectionRegistry {
-    private static final double SOCKET_SHARE = 0.42; // of all descriptors; the program itself needs some, too
-    private static final double NEWCOMERS_SHARE = 0.25; // of the connections: so many may have asked nothing yet
-    private static final double PRESSED_SHARE = 0.5; // of the connections that fit: then idle ones give way early
-    private static final double GIVES_WAY_MS = 2200; // idle for so long, a connection may be closed for room
-    private static final double IDLE_MS = 20_000; // idle for so long, it is closed
-    private static final double AWAY_MS = 300; // idle for so long, it is closed where clients are sent away
-    private static final double AWAY_SILENT_MS = 1500; // without a first request for so long, the same
-    private static final double FEWER_SHARE = 0.75; // of the connections at which no descriptor was left
-    private static final double FEWER_MS = 10_000;
-    private static final int ASKED_ONCE = 1; // requests on a connection that need not bring another
+    private static final double CLIENT_DESCRIPTOR_SHARE = 0.42; // of all descriptors; other parts of the process need the rest
+    private static final double UNUSED_CONNECTION_SHARE = 0.25; // of the maximum; share that may be without a request
+    private static final double CROWDED_SHARE = 0.5; // of the maximum; above it idle connections are closed early
+    private static final double CROWDED_IDLE_LIMIT_MS = 2200; // idle limit when room is needed
+    private static final double IDLE_LIMIT_MS = 20_000;
+    private static final double RELEASE_IDLE_LIMIT_MS = 300; // idle limit while clients have to move to another gateway
+    private static final double RELEASE_UNUSED_LIMIT_MS = 1500; // the same for connections without a first request
+    private static final double DESCRIPTOR_SHORTAGE_SHARE = 0.75; // of the connections open when no descriptor was left
+    private static final double DESCRIPTOR_SHORTAGE_MS = 10_000;
+    private static final int SINGLE_REQUEST = 1; // a connection with this many requests need not bring another
 
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
-    private final LinkedHashSet<ClientConnection> unused = new LinkedHashSet<>(); // no request came yet; the oldest first
-    private final LinkedHashSet<ClientConnection> onlookers = new LinkedHashSet<>(); // idle, asked for health alone
-    private final LinkedHashSet<ClientConnection> casual = new LinkedHashSet<>(); // idle, asked once
-    private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>(); // those that ask again and again
-    private final LinkedHashSet<ClientConnection> lingering = new LinkedHashSet<>(); // after the last answer, the oldest first
-    /** Who gives way first, once there are no more newcomers than may be; the longest idle stands first in each. */
-    private final List<LinkedHashSet<ClientConnection>> givingWay = List.of(onlookers, casual, idle, unused);
-    private final int mostConnections; // by the settings
-    private int maxConnections; // less, for a while, where the system has fewer descriptors
-    private double fewerUntil;
-    private long readAhead; // bytes of requests that wait their turn, on all connections
-
-    /** @param descriptors that the process may hold */
+    private final LinkedHashSet<ClientConnection> unused = new LinkedHashSet<>(); // without a request yet, oldest first
+    private final LinkedHashSet<ClientConnection> idleHealthChecks = new LinkedHashSet<>(); // carried health checks only
+    private final LinkedHashSet<ClientConnection> idleAfterOneRequest = new LinkedHashSet<>();
+    private final LinkedHashSet<ClientConnection> idleRepeated = new LinkedHashSet<>(); // idle after several requests
+    private final LinkedHashSet<ClientConnection> lingering = new LinkedHashSet<>(); // after their last answer, oldest first
+    /**
+     * Order of eviction once the unused connections are within their share. In each set the connection that has been idle
+     * longest comes first.
+     */
+    private final List<LinkedHashSet<ClientConnection>> evictionOrder =
+            List.of(idleHealthChecks, idleAfterOneRequest, idleRepeated, unused);
+    private final int configuredMaxConnections;
+    private int maxConnections; // lower than configured for a while after a shortage of descriptors
+    private double shortageUntilMs;
+    private long readAheadBytes; // queued requests on all connections
+
+    /** @param descriptors number of file descriptors that the process may hold */
     ClientConnectionRegistry(int descriptors) {
-        this.mostConnections = (int) (descriptors * SOCKET_SHARE);
-        this.maxConnections = mostConnections;
+        this.configuredMaxConnections = (int) (descriptors * CLIENT_DESCRIPTOR_SHARE);
+        this.maxConnections = configuredMaxConnections;
     }
 
-    /** Takes in a new connection, for which another may have to give way; false where none does. */
-    boolean take(ClientConnection c) {
+    /** Registers a new connection, evicting another one if necessary; returns false when there is no room. */
+    boolean admit(ClientConnection connection) {
         if (connections.size() >= maxConnections && !makeRoom()) {
             return false;
         }
-        connections.add(c);
-        unused.add(c);
+        connections.add(connection);
+        unused.add(connection);
         return true;
     }
 
     /**
-     * No descriptor was left for a connection. For a while fewer are let in, or hosts and discovery would get none either: each
-     * that is free is taken by the next client.
+     * Handles a shortage of descriptors: lowers the maximum for a while. Otherwise every descriptor that is released would be
+     * taken by the next client, and none would be left for hosts and discovery.
      */
-    void noDescriptor(double now) {
-        fewerUntil = now + FEWER_MS;
-        maxConnections = Math.max(1, Math.min(maxConnections, (int) (connections.size() * FEWER_SHARE)));
+    void onDescriptorShortage(double now) {
+        shortageUntilMs = now + DESCRIPTOR_SHORTAGE_MS;
+        maxConnections = Math.max(1, Math.min(maxConnections, (int) (connections.size() * DESCRIPTOR_SHORTAGE_SHARE)));
         while (connections.size() >= maxConnections && makeRoom()) {
             continue;
         }
     }
 
-    void leave(ClientConnection c) {
-        connections.remove(c);
-        lingering.remove(c);
-        inUse(c);
+    void remove(ClientConnection connection) {
+        connections.remove(connection);
+        lingering.remove(connection);
+        markInUse(connection);
     }
 
-    /** It is idle no longer. */
-    void inUse(ClientConnection c) {
-        givingWay.forEach(kind -> kind.remove(c));
+    /** Removes a connection from the idle ones. */
+    void markInUse(ClientConnection connection) {
+        evictionOrder.forEach(kind -> kind.remove(connection));
     }
 
     /**
-     * It is idle, and stands behind the others of its kind.
+     * Adds a connection to the idle ones, behind the others of its kind.
      *
-     * @param requests that came on it so far
+     * @param requests number of requests that the connection has carried, without health checks
      */
-    void rest(ClientConnection c, int requests) {
-        (requests > ASKED_ONCE ? idle : requests == ASKED_ONCE ? casual : onlookers).add(c);
+    void markIdle(ClientConnection connection, int requests) {
+        (requests > SINGLE_REQUEST ? idleRepeated : requests == SINGLE_REQUEST ? idleAfterOneRequest : idleHealthChecks).add(connection);
     }
 
-    /** Its last answer has left, and it is read on for a while. */
-    void linger(ClientConnection c) {
-        lingering.add(c);
+    /** Adds a connection whose input is still discarded for a while after its last answer. */
+    void addLingering(ClientConnection connection) {
+        lingering.add(connection);
     }
 
     boolean isEmpty() {
@@ -93,93 +97,96 @@
         return connections.size();
     }
 
-    /** All that are open now, as a copy. */
+    /** Returns a copy of the open connections. */
     List<ClientConnection> all() {
         return List.copyOf(connections);
     }
 
-    /** Bytes of requests that wait their turn, on all connections. */
-    long readAhead() {
-        return readAhead;
+    /** Returns the size of the queued requests on all connections, in bytes. */
+    long readAheadBytes() {
+        return readAheadBytes;
     }
 
-    /** So many bytes more wait their turn, or less where below 0. */
-    void readAhead(long more) {
-        readAhead += more;
+    /** Adds to the size of the queued requests; a negative value subtracts. */
+    void adjustReadAheadBytes(long deltaBytes) {
+        readAheadBytes += deltaBytes;
     }
 
-    /** Closes connections whose time of reading on after the last answer is over. */
+    /** Closes connections whose time for discarding input after the last answer has passed. */
     void endLingering(double now) {
-        for (ClientConnection c : List.copyOf(lingering)) {
-            if (!c.lingers(now)) {
-                c.close(CloseReason.LAST_ANSWER);
+        for (ClientConnection connection : List.copyOf(lingering)) {
+            if (!connection.lingers(now)) {
+                connection.close(CloseReason.LAST_ANSWER);
             }
         }
     }
 
-    /** Closes what has been idle for too long: sooner where there are many. */
+    /** Closes connections that have been idle for too long; the limit is lower when many are open. */
     void closeIdle(double now) {
-        maxConnections = now > fewerUntil ? mostConnections : maxConnections;
-        boolean pressed = connections.size() > maxConnections * PRESSED_SHARE;
-        closeIdle(onlookers, now - GIVES_WAY_MS, CloseReason.IDLE);
-        closeIdle(casual, now - GIVES_WAY_MS, CloseReason.IDLE);
-        closeIdle(idle, now - (pressed ? GIVES_WAY_MS : IDLE_MS), CloseReason.IDLE);
+        maxConnections = now > shortageUntilMs ? configuredMaxConnections : maxConnections;
+        boolean crowded = connections.size() > maxConnections * CROWDED_SHARE;
+        closeIdle(idleHealthChecks, now - CROWDED_IDLE_LIMIT_MS, CloseReason.IDLE);
+        closeIdle(idleAfterOneRequest, now - CROWDED_IDLE_LIMIT_MS, CloseReason.IDLE);
+        closeIdle(idleRepeated, now - (crowded ? CROWDED_IDLE_LIMIT_MS : IDLE_LIMIT_MS), CloseReason.IDLE);
     }
 
-    /** Closes what is idle where clients are sent away. */
-    void closeAway(double now) {
-        for (LinkedHashSet<ClientConnection> from : givingWay) {
-            closeIdle(from, now - (from == unused ? AWAY_SILENT_MS : AWAY_MS), CloseReason.SENT_AWAY);
+    /** Closes idle connections while clients have to move to another gateway. */
+    void closeIdleForRelease(double now) {
+        for (LinkedHashSet<ClientConnection> idleSet : evictionOrder) {
+            closeIdle(idleSet, now - (idleSet == unused ? RELEASE_UNUSED_LIMIT_MS : RELEASE_IDLE_LIMIT_MS), CloseReason.SENT_AWAY);
         }
     }
 
-    private void closeIdle(LinkedHashSet<ClientConnection> from, double since, CloseReason why) {
-        for (ClientConnection c = first(from); c != null && c.idleSince() < since; c = first(from)) {
-            giveUp(c, from, why); // it leaves the set either way
+    private void closeIdle(LinkedHashSet<ClientConnection> idleSet, double sinceMs, CloseReason reason) {
+        for (ClientConnection connection = oldestOf(idleSet); connection != null && connection.idleSinceMs() < sinceMs;
+                connection = oldestOf(idleSet)) {
+            closeIfDrained(connection, idleSet, reason); // removes the connection from the set in either case
         }
     }
 
-    /** Closes all that are idle, but for those without a first request that are younger than this. */
-    void closeAll(double young) {
-        for (LinkedHashSet<ClientConnection> from : givingWay) {
-            List.copyOf(from).stream().filter(c -> from != unused || c.idleSince() < young).forEach(c -> giveUp(c, from, CloseReason.ENDING));
+    /** Closes all idle connections except those without a first request that were opened after the given time. */
+    void closeAllIdle(double openedBeforeMs) {
+        for (LinkedHashSet<ClientConnection> idleSet : evictionOrder) {
+            List.copyOf(idleSet).stream().filter(connection -> idleSet != unused || connection.idleSinceMs() < openedBeforeMs)
+                    .forEach(connection -> closeIfDrained(connection, idleSet, CloseReason.ENDING));
         }
     }
 
-    /** Closes all that are idle and have asked something before. */
-    void closeUsed() {
-        for (LinkedHashSet<ClientConnection> from : givingWay) {
-            if (from != unused) {
-                List.copyOf(from).forEach(c -> giveUp(c, from, CloseReason.ENDING));
+    /** Closes all idle connections that have carried a request or a health check. */
+    void closeIdleUsed() {
+        for (LinkedHashSet<ClientConnection> idleSet : evictionOrder) {
+            if (idleSet != unused) {
+                List.copyOf(idleSet).forEach(connection -> closeIfDrained(connection, idleSet, CloseReason.ENDING));
             }
         }
     }
 
-    private static ClientConnection first(LinkedHashSet<ClientConnection> from) {
-        return from.isEmpty() ? null : from.iterator().next();
+    private static ClientConnection oldestOf(LinkedHashSet<ClientConnection> idleSet) {
+        return idleSet.isEmpty() ? null : idleSet.iterator().next();
     }
 
     /**
-     * Rather an idle connection than no descriptor left for anyone; one in use never. A crowd whose connections come
-     * and go must not push out those that bring most of the requests, and a crowd that says nothing only its own: of
-     * newcomers beyond their share the longest silent gives way. Within that share they give way last, or in a full
-     * house each would be closed by the next before its request is there, and none would ever be heard.
+     * Evicts one connection that is not in use; an idle connection is worth less than a free descriptor. Many short
+     * connections must not displace those that carry most of the requests, and many silent connections may only displace
+     * each other: beyond their share the unused connection that has been silent longest is evicted. Within their share
+     * unused connections are evicted last. Otherwise, at the maximum, each would be closed for the next one before its
+     * request has arrived, and none would ever be served.
      */
     private boolean makeRoom() {
         if (!lingering.isEmpty()) {
-            ClientConnection oldest = first(lingering);
-            leave(oldest);
+            ClientConnection oldest = oldestOf(lingering);
+            remove(oldest);
             oldest.close(CloseReason.LAST_ANSWER);
             return true;
         }
-        while (unused.size() > maxConnections * NEWCOMERS_SHARE) {
-            if (giveUp(first(unused), unused, CloseReason.MADE_ROOM)) {
+        while (unused.size() > maxConnections * UNUSED_CONNECTION_SHARE) {
+            if (closeIfDrained(oldestOf(unused), unused, CloseReason.MADE_ROOM)) {
                 return true;
             }
         }
-        for (LinkedHashSet<ClientConnection> from : givingWay) {
-            for (ClientConnection c = first(from); c != null; c = first(from)) {
-                if (giveUp(c, from, CloseReason.MADE_ROOM)) {
+        for (LinkedHashSet<ClientConnection> idleSet : evictionOrder) {
+            for (ClientConnection connection = oldestOf(idleSet); connection != null; connection = oldestOf(idleSet)) {
+                if (closeIfDrained(connection, idleSet, CloseReason.MADE_ROOM)) {
                     return true;
                 }
             }
@@ -187,18 +194,18 @@
         return false;
     }
 
-    /** Ends a connection unless a request stands unread in its socket: closing that away would lose it. */
-    private boolean giveUp(ClientConnection c, LinkedHashSet<ClientConnection> from, CloseReason why) {
-        boolean free = c.isFree(from == unused);
-        if (free) {
-            leave(c); // now, as its end is told only later
-            c.close(why);
+    /** Closes a connection unless a request waits unread in its socket, which would be lost. */
+    private boolean closeIfDrained(ClientConnection connection, LinkedHashSet<ClientConnection> idleSet, CloseReason reason) {
+        boolean closable = connection.isClosable(idleSet == unused);
+        if (closable) {
+            remove(connection); // at once, because channelInactive is called only later
+            connection.close(reason);
         } else {
-            from.remove(c); // it was just asked something, and answered at once where it stands here still
-            if (!c.isAsking(from == unused)) {
-                c.rest();
+            idleSet.remove(connection); // a request has just arrived; if it is answered already, the connection is idle again
+            if (!connection.hasIncompleteRequest(idleSet == unused)) {
+                connection.markIdle();
             }
         }
-        return free;
+        return closable;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/ClientDepartureCounters.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientDepartureCounters.java
@@ -1,39 +1,40 @@
 package marlford.gateway.net;
 
 /**
- * Clients that left with no answer, for the line that is logged every second: {@code left_waiting} counts the requests of which
- * nothing had left for a host by then, {@code left_served} the others, and {@code sent_for_left} the attempts that were written
- * more than {@value #SOON_MS} ms after their client was seen to leave, which is to stay 0. On the event loop.
+ * Counts clients that disconnected before they were answered, for the activity line of each second: {@code left_waiting}
+ * counts requests of which no attempt had begun to be written by then, {@code left_served} the others, and
+ * {@code sent_for_left} attempts that were written more than {@value #SEND_GRACE_MS} ms after their client was seen to
+ * disconnect, which must stay 0. Used on the event loop.
  */
 final class ClientDepartureCounters {
-    /** By the operators' term no attempt begins later than that after its client left. */
-    static final double SOON_MS = 100;
+    /** The operators require that no attempt begins later than this after its client has disconnected. */
+    static final double SEND_GRACE_MS = 100;
 
-    private int waiting;
-    private int served;
-    private int sentFor;
+    private int unsentCount;
+    private int sentCount;
+    private int sentLateCount;
 
-    /** A client left; whether an attempt of its request had begun to leave. */
-    void left(boolean begun) {
-        if (begun) {
-            served++;
+    /** @param writeStarted whether an attempt of the request of the disconnected client had begun to be written */
+    void recordDisconnect(boolean writeStarted) {
+        if (writeStarted) {
+            sentCount++;
         } else {
-            waiting++;
+            unsentCount++;
         }
     }
 
-    /** An attempt leaves, so many milliseconds after its client left; below 0 where that is still there. */
-    void sent(double afterMs) {
-        if (afterMs > SOON_MS) {
-            sentFor++;
+    /** @param afterMs time from the client's disconnect to the write of an attempt; negative while the client is connected */
+    void recordSend(double afterMs) {
+        if (afterMs > SEND_GRACE_MS) {
+            sentLateCount++;
         }
     }
 
-    /** {@code  name=count} for all that is not nought; the counts begin anew. */
-    String take() {
-        String line = (waiting > 0 ? " left_waiting=" + waiting : "") + (served > 0 ? " left_served=" + served : "")
-                + (sentFor > 0 ? " sent_for_left=" + sentFor : "");
-        waiting = served = sentFor = 0;
+    /** Returns {@code  name=count} for each count above 0 and resets the counts. */
+    String takeCounts() {
+        String line = (unsentCount > 0 ? " left_waiting=" + unsentCount : "") + (sentCount > 0 ? " left_served=" + sentCount : "")
+                + (sentLateCount > 0 ? " sent_for_left=" + sentLateCount : "");
+        unsentCount = sentCount = sentLateCount = 0;
         return line;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/ClientServer.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientServer.java
@@ -7,93 +7,94 @@
 import marlford.gateway.accept.AcceptRetry;
 import marlford.gateway.guard.Rule;
 
-/** Accepts clients, and looks over their connections at a steady pace. */
+/** Accepts client connections and checks them at a regular interval. Used on the event loop. */
 final class ClientServer {
-    static final int MAX_BODY = 64 * 1024;
-    private static final long SWEEP_MS = 100;
-    private static final double ASKS_WITHIN_MS = 200; // of connecting: the longest way there and back, and a late loop
+    static final int MAX_BODY = 64 * 1024; // bytes of a body that is buffered; longer bodies are streamed
+    private static final long SWEEP_INTERVAL_MS = 100;
+    private static final double FIRST_REQUEST_GRACE_MS = 200; // from connecting: longest round trip plus event loop lag
 
     private final Node node;
-    private final RequestParser terms;
-    private final ClientConnectionRegistry places;
+    private final RequestParser requestParser;
+    private final ClientConnectionRegistry connections;
     private Channel listener;
-    private AcceptRetry acceptRetry; // of that listener
-    private long accepted; // connections since the start
-    private boolean takingQueue; // ahead of the listener's end
-    private boolean swept; // the sweep has begun
+    private AcceptRetry acceptRetry; // of the current listener
+    private long acceptedCount; // connections since the start of the process
+    private boolean acceptingBacklog; // the pending connections are being accepted before the listener closes
+    private boolean sweepStarted;
 
     ClientServer(Node node) {
         this.node = node;
-        this.terms = new RequestParser(node.config.settings());
-        this.places = new ClientConnectionRegistry(node.config.sockets());
+        this.requestParser = new RequestParser(node.config.settings());
+        this.connections = new ClientConnectionRegistry(node.config.sockets());
     }
 
-    /** Clients are served once this is done. */
+    /** Opens the listener; clients are served once the returned future has succeeded. */
     ChannelFuture start() {
         if (node.isDraining()) {
             node.rules.broken(Rule.LISTENED_WHILE_ENDING);
         }
-        AcceptRetry accepting = new AcceptRetry(Node::log, this::noDescriptor, node.clock::now);
+        AcceptRetry retry = new AcceptRetry(Node::log, this::onDescriptorShortage, node.clock::now);
         ChannelFuture bound = node.transport.server(node.group)
-                .handler(accepting)
+                .handler(retry)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        new ClientConnection(node, places, terms, ch, ++accepted, accepting.waitedMs()).addTo(ch.pipeline());
+                        new ClientConnection(node, connections, requestParser, ch, ++acceptedCount, retry.waitedMs())
+                                .addTo(ch.pipeline());
                     }
                 }).bind(node.transport.at(node.config.listen()));
-        boolean failed = bound.isDone() && !bound.isSuccess(); // there was no socket for it
+        boolean failed = bound.isDone() && !bound.isSuccess(); // for example, no socket could be created
         listener = failed ? null : bound.channel();
-        acceptRetry = accepting;
-        if (!swept) {
-            swept = true;
-            node.loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        acceptRetry = retry;
+        if (!sweepStarted) {
+            sweepStarted = true;
+            node.loop.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
         return bound;
     }
 
-    /** After this only those who are connected are heard: who stands in the queue by now is, though this loop be late. */
+    /** Closes the listener. Connections that are pending by then are still accepted, even when the event loop lags. */
     void stopAccepting() {
         pause();
         node.loop.schedule(() -> {
-            if (listener != null) { // else another process took this one's place meanwhile
-                takeQueue();
+            if (listener != null) { // null when a successor process took over meanwhile
+                acceptBacklog();
                 listener.close();
             }
-        }, Node.TURN_MS, TimeUnit.MILLISECONDS);
+        }, Node.LOOP_ITERATION_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Who stands in the queue at the listener's end is taken in all the same. */
-    private void noDescriptor() {
-        if (!takingQueue && !node.transport.hasSpareDescriptors()) {
-            places.noDescriptor(node.clock.now());
+    /** Handles a failed accept. While the listener is closing, all pending connections are accepted regardless. */
+    private void onDescriptorShortage() {
+        if (!acceptingBacklog && !node.transport.hasSpareDescriptors()) {
+            connections.onDescriptorShortage(node.clock.now());
         }
     }
 
-    private void takeQueue() {
+    private void acceptBacklog() {
         if (!listener.isOpen()) {
-            return; // an end and a process that takes this one's place may come to it both
+            return; // already done: shutdown and handover to a successor may both close the listener
         }
-        takingQueue = true;
-        for (int i = 0; i <= Transport.BACKLOG; i++) { // one a call at least, where all but that fail
-            long before = acceptRetry.calls();
-            listener.config().setAutoRead(true); // a failure may have paused it, and then one is taken a call
+        acceptingBacklog = true;
+        for (int i = 0; i <= Transport.BACKLOG; i++) { // each call accepts at least one connection unless all calls fail
+            long callsBefore = acceptRetry.calls();
+            listener.config().setAutoRead(true); // a failed accept may have paused it; one connection is accepted per call then
             Transport.readNow(listener);
-            if (acceptRetry.calls() == before) {
+            if (acceptRetry.calls() == callsBefore) {
                 break;
             }
         }
-        takingQueue = false;
+        acceptingBacklog = false;
     }
 
-    /** After this only requests that already came are answered; who has just connected is about to ask. */
+    /** Closes idle connections. A connection that was just opened is kept, because its first request may be under way. */
     void giveUpIdle() {
-        places.closeAll(node.clock.now() - ASKS_WITHIN_MS);
+        connections.closeAllIdle(node.clock.now() - FIRST_REQUEST_GRACE_MS);
     }
 
     /**
-     * Accepts nothing for a moment, ahead of the listener's end and at least one turn of the event loop before it: a socket
-     * that the loop still knows is closed by the system only at its next turn, and takes connections until then.
+     * Stops accepting for a moment. Must be called at least one iteration of the event loop before the listener is closed: the
+     * system closes a socket that is still registered only in the next iteration, and it accepts connections until then.
      */
     void pause() {
         if (listener != null) {
@@ -102,52 +103,54 @@
     }
 
     /**
-     * Another process listens at this address, too: what stands in the queue here would be reset with the listener, so
-     * all of it is accepted first. Connections that asked before and are idle are closed; one that was just made is
-     * about to ask.
+     * Closes the listener because a successor process listens on the same address. All pending connections are accepted
+     * first, as closing the listener would reset them. Idle connections that have carried a request are closed; the first
+     * request of a new connection may be under way.
      */
     void leave() {
         if (listener == null) {
             return;
         }
-        takeQueue();
+        acceptBacklog();
         listener.close();
         listener = null;
-        places.closeUsed();
+        connections.closeIdleUsed();
     }
 
-    boolean idle() {
-        return places.isEmpty();
+    boolean hasNoConnections() {
+        return connections.isEmpty();
     }
 
-    int count() {
-        return places.count();
+    int connectionCount() {
+        return connections.count();
     }
 
-    boolean hasUnsent() {
-        return places.all().stream().anyMatch(c -> !c.channel().isWritable());
+    /** Whether a connection has output that could not be written to its socket. */
+    boolean hasUnsentOutput() {
+        return connections.all().stream().anyMatch(connection -> !connection.channel().isWritable());
     }
 
+    /** Returns the listener; null while there is none. */
     Channel listener() {
         return listener;
     }
 
-    /** Silence, and a request that does not get on, end here; so do idle connections, sooner where there are many. */
+    /** Ends connections whose client has stopped and connections that have been idle for too long. */
     private void sweep() {
-        node.loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        node.loop.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         double now = node.clock.now();
-        places.endLingering(now);
-        for (ClientConnection c : places.all()) {
+        connections.endLingering(now);
+        for (ClientConnection connection : connections.all()) {
             try {
-                c.endIfStopped();
-            } catch (RuntimeException e) { // of this connection alone: the others are looked at all the same
+                connection.endIfStopped();
+            } catch (RuntimeException e) { // affects only this connection; the others are still checked
                 Node.log("defect: a connection could not be looked at: " + e);
-                c.close(CloseReason.IO_ERROR);
+                connection.close(CloseReason.IO_ERROR);
             }
         }
-        if (now - node.awayAt() > node.end.acceptsMs()) {
-            places.closeAway(now);
+        if (now - node.releasingSinceMs() > node.shutdownSchedule.acceptsMs()) {
+            connections.closeIdleForRelease(now);
         }
-        places.closeIdle(now);
+        connections.closeIdle(now);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/Clock.java
+++ b/gateway/src/main/java/marlford/gateway/net/Clock.java
@@ -1,6 +1,9 @@
 package marlford.gateway.net;
 
-/** The one clock: Unix milliseconds that only advance, so that they compare with a host's start. */
+/**
+ * The clock of a node: Unix time in milliseconds that never goes back. It has the epoch of Unix time so that it can be
+ * compared with the start times of hosts.
+ */
 class Clock {
     private static final double NANOS_PER_MS = 1e6;
 
--- a/gateway/src/main/java/marlford/gateway/net/CloseReason.java
+++ b/gateway/src/main/java/marlford/gateway/net/CloseReason.java
@@ -1,40 +1,40 @@
 package marlford.gateway.net;
 
-/** Why a client's connection ended. The names stand in the log, in lower case. */
+/** Why a client connection was closed. The names appear in the log in lower case. */
 enum CloseReason {
-    /** The client ended it. */
+    /** The client closed it. */
     BY_CLIENT,
     /** Reading or writing failed. */
     IO_ERROR,
-    /** All places were taken, and nobody gave way. */
+    /** The maximum number of connections was open and none could be evicted. */
     HOUSE_FULL,
-    /** It was idle, and gave way to a new one. */
+    /** It was idle and was evicted for a new connection. */
     MADE_ROOM,
     /** It was idle for too long. */
     IDLE,
-    /** It was idle while clients are sent away. */
+    /** It was idle while clients have to move to another gateway. */
     SENT_AWAY,
-    /** It was idle when the process ended or another one took its place. */
+    /** It was idle when the process shut down or a successor process took over. */
     ENDING,
-    /** No first request began. */
+    /** No request began within the time limit. */
     SILENT,
-    /** A request, answered with 408, did not get on. */
+    /** A request stopped arriving; it was answered with status 408. */
     STALLED_REQUEST,
-    /** A long body did not get on. */
+    /** A long body stopped arriving. */
     STALLED_BODY,
-    /** The client did not take its answers. */
+    /** The client stopped reading its answers. */
     STALLED_OUTPUT,
     /** A long body could not be read. */
     UNREADABLE_BODY,
-    /** A long answer broke off on its way. */
+    /** A streamed answer ended before it was complete. */
     ANSWER_CUT,
     /** The last answer could not be written. */
     LAST_ANSWER_FAILED,
-    /** The last answer was written, and the client's end not waited for any longer. */
+    /** The last answer was written, and the time in which the client could close the connection has passed. */
     LAST_ANSWER;
 
-    /** Whether this gateway ends the connection of a client that did nothing wrong, to have it no longer. */
-    boolean isChosen() {
+    /** Whether the gateway closed the connection for its own benefit, without a fault of the client. */
+    boolean isWithoutClientFault() {
         return this == HOUSE_FULL || this == MADE_ROOM || this == IDLE || this == SENT_AWAY || this == ENDING || this == SILENT;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
+++ b/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
@@ -12,39 +12,40 @@
 import sun.misc.SignalHandler;
 
 /**
- * Keeps a process on the newest good configuration. The file is looked at four times a second, and at once at SIGHUP;
- * it is read when it was replaced, on a thread of its own, so that no request waits for it. A file that can't be used
- * changes nothing and is looked at again, since it may be half written.
+ * Keeps a process on the newest valid configuration. The file is checked every {@value #CHECK_INTERVAL_MS} ms and at once
+ * on SIGHUP, and it is read after a change on a thread of this class, so that no request waits for it. An invalid file
+ * changes nothing and is read again at each check, because it may be half written.
  *
- * <p>The signal alone is not enough. A process that is started with SIGHUP ignored, as by {@code nohup} or by a shell
- * under it, keeps ignoring it: the virtual machine leaves such a signal alone, whatever handler is set, and says
- * nothing. A gateway so started once went on for good with the discovery that its first file named.
+ * <p>The signal alone is not sufficient. A process that is started with SIGHUP ignored, for example by {@code nohup} or by
+ * a shell below it, keeps ignoring it: the virtual machine does not install the handler for an ignored signal and reports
+ * no error. A gateway started that way kept using the discovery address of its first configuration forever.
  *
- * <p>Before the virtual machine takes signals, SIGHUP ends the process; the deploy file starts it with SIGHUP ignored.
+ * <p>Until the virtual machine has installed its signal handlers, SIGHUP ends the process. For this reason the deploy file
+ * starts it with SIGHUP ignored.
  */
 final class ConfigurationReloader {
-    static final long LOOK_MS = 250; // how often the file is looked at
+    static final long CHECK_INTERVAL_MS = 250;
 
     /**
-     * Whether a file was replaced or written to. No record, here and for what is compared below: the first use of a
-     * record's own {@code equals} costs a start 20 ms of the processor.
+     * Identifies a version of a file. Neither this class nor the file contents are compared as records, because the first
+     * use of a record's generated {@code equals} costs 20 ms of processor time during the start.
      */
     private static final class Stamp {
         private final long modifiedNanos;
         private final long size;
         private final Object key;
 
-        private Stamp(BasicFileAttributes a) {
-            modifiedNanos = a.lastModifiedTime().to(TimeUnit.NANOSECONDS);
-            size = a.size();
-            key = a.fileKey();
+        private Stamp(BasicFileAttributes attributes) {
+            modifiedNanos = attributes.lastModifiedTime().to(TimeUnit.NANOSECONDS);
+            size = attributes.size();
+            key = attributes.fileKey();
         }
 
         static Stamp of(String file) {
             try {
                 return new Stamp(Files.readAttributes(Path.of(file), BasicFileAttributes.class));
             } catch (IOException | RuntimeException e) {
-                return null; // gone for the moment: that, too, is a change
+                return null; // a file that is missing at the moment counts as changed
             }
         }
 
@@ -55,70 +56,74 @@
     }
 
     private final String file;
-    private Consumer<NodeConfig> follower; // null while the process still starts
+    private Consumer<NodeConfig> follower; // null until the start is complete
     private NodeConfig newest;
-    private byte[] text; // of which it was read
-    private Stamp seen; // of the file as it was last read
-    private boolean bad; // so it must be read again
-    private boolean hungUp;
+    private byte[] text; // content of the file from which the newest configuration was parsed
+    private Stamp lastStamp; // of the file when it was last read
+    private boolean invalid; // the last content was rejected, so the file is read again at the next check
+    private boolean hangupReceived;
 
     private ConfigurationReloader(String file) {
         this.file = file;
     }
 
-    /** Takes the signal from now on. Java has no other way to it than this class, which all its releases keep. */
+    /**
+     * Installs the SIGHUP handler. The class used for it is the only way that Java offers, and all releases keep it.
+     *
+     * @param file path of the configuration file
+     */
     @SuppressWarnings("sunapi")
     static ConfigurationReloader onHangup(String file) {
-        ConfigurationReloader reload = new ConfigurationReloader(file);
-        SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reload.hangUp());
-        if (before == SignalHandler.SIG_IGN) {
-            Node.log("deckfall: SIGHUP is ignored since before the start: a replaced file is seen " + LOOK_MS
-                    + " ms later");
+        ConfigurationReloader reloader = new ConfigurationReloader(file);
+        SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.onHangupSignal());
+        if (previous == SignalHandler.SIG_IGN) {
+            Node.log("deckfall: SIGHUP is ignored since before the start: a changed configuration file is noticed within "
+                    + CHECK_INTERVAL_MS + " ms instead");
         }
-        return reload;
+        return reloader;
     }
 
-    private synchronized void hangUp() {
-        hungUp = true;
+    private synchronized void onHangupSignal() {
+        hangupReceived = true;
         notifyAll();
     }
 
-    /** The configuration to start by. */
+    /** Reads the configuration that the process starts with. */
     synchronized NodeConfig first() throws NodeConfig.BadConfig {
-        seen = Stamp.of(file); // before the reading: what is written meanwhile is a change
+        lastStamp = Stamp.of(file); // before reading, so that a concurrent write counts as a change
         text = NodeConfig.bytes(file);
-        newest = NodeConfig.read(file, text);
+        newest = NodeConfig.parse(file, text);
         return newest;
     }
 
-    /** The newest configuration that can be used, as the file stands now; a bad file leaves the one read before. */
+    /** Checks the file and returns the newest valid configuration. */
     synchronized NodeConfig newest() {
-        look();
+        readIfChanged();
         return newest;
     }
 
     /**
-     * From now on each new configuration is passed on, on a thread of this class; one that came since {@code held} was
-     * read, before this returns.
+     * Passes each further configuration to the consumer, on a thread of this class. A configuration newer than
+     * {@code held} is passed on before this method returns.
      */
     synchronized void follow(NodeConfig held, Consumer<NodeConfig> followed) {
         follower = followed;
-        look();
+        readIfChanged();
         if (newest != held) {
             follower.accept(newest);
         }
-        Thread watch = new Thread(this::watch, "configuration");
-        watch.setDaemon(true);
-        watch.start();
+        Thread watcher = new Thread(this::watch, "configuration");
+        watcher.setDaemon(true);
+        watcher.start();
     }
 
     private synchronized void watch() {
         try {
             while (true) {
-                if (!hungUp) {
-                    wait(LOOK_MS);
+                if (!hangupReceived) {
+                    wait(CHECK_INTERVAL_MS);
                 }
-                if (look()) {
+                if (readIfChanged()) {
                     follower.accept(newest);
                 }
             }
@@ -127,35 +132,35 @@
         }
     }
 
-    /** Reads the file where it may have changed; returns whether it now says something new. */
-    private boolean look() {
-        Stamp now = Stamp.of(file);
-        boolean changed = Stamp.differ(now, seen);
-        boolean asked = hungUp;
-        hungUp = false;
-        if (!changed && !asked && !bad) {
+    /** Reads the file if it may have changed; returns whether its valid content has changed. */
+    private boolean readIfChanged() {
+        Stamp stamp = Stamp.of(file);
+        boolean changed = Stamp.differ(stamp, lastStamp);
+        boolean hangup = hangupReceived;
+        hangupReceived = false;
+        if (!changed && !hangup && !invalid) {
             return false;
         }
-        boolean news = false;
+        boolean contentChanged = false;
         try {
-            byte[] fresh = NodeConfig.bytes(file);
-            news = !Arrays.equals(fresh, text);
-            if (news) {
-                newest = NodeConfig.read(file, fresh);
-                text = fresh;
+            byte[] newText = NodeConfig.bytes(file);
+            contentChanged = !Arrays.equals(newText, text);
+            if (contentChanged) {
+                newest = NodeConfig.parse(file, newText);
+                text = newText;
             }
-            bad = false;
-            if (news || asked) {
-                Node.log("deckfall: configuration read" + (asked ? " at SIGHUP" : " from a replaced file")
-                        + ": discovery at " + newest.discovery() + (news ? "" : ", nothing new"));
+            invalid = false;
+            if (contentChanged || hangup) {
+                Node.log("deckfall: configuration read" + (hangup ? " on SIGHUP" : " after the file changed")
+                        + ": discovery at " + newest.discovery() + (contentChanged ? "" : ", content unchanged"));
             }
         } catch (NodeConfig.BadConfig | RuntimeException e) {
-            if (!bad || asked || changed) {
-                Node.log("deckfall: the settings stay as they were: " + e.getMessage());
+            if (!invalid || hangup || changed) {
+                Node.log("deckfall: the settings stay as they were, the new configuration is invalid: " + e.getMessage());
             }
-            bad = true;
+            invalid = true;
         }
-        seen = now;
-        return news;
+        lastStamp = stamp;
+        return contentChanged;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/EventLog.java
+++ b/gateway/src/main/java/marlford/gateway/net/EventLog.java
@@ -5,107 +5,109 @@
 import marlford.gateway.EngineApi.Outcome;
 
 /**
- * Says what happens to requests and connections, and why: counted by reason for the line of each second, and, where the process
- * is traced, one line for each event with the request's id. On the event loop.
+ * Records events of requests and connections: it counts them by reason for the activity line of each second and, when the
+ * process is traced, writes one line per event with the request id. Used on the event loop.
  */
 final class EventLog {
-    /** The environment's name for a line for each event; any value but an empty one switches it on. */
-    static final String TRACE = "NODE_TRACE";
+    /** Environment variable that switches the trace on when it is set and not empty. */
+    static final String TRACE_VARIABLE = "NODE_TRACE";
 
     /** Why a request was refused. */
     enum Refusal {
-        /** More requests are open than may be. */
+        /** The maximum number of requests is open. */
         TOO_MANY_OPEN,
-        /** Nothing is sent on any more, as the process ends. */
+        /** The process is ending and sends no further attempts. */
         ENDING,
-        /** The decision module's word. */
+        /** The decision engine refused it. */
         DECIDED,
-        /** Held without an attempt when its time, or its client's end, could not be waited for. */
+        /** It was held without an attempt until its time ran out or the presence of its client could not be determined. */
         NEVER_SENT
     }
 
     private final Clock clock;
-    private final Consumer<String> trace; // null where the process is not traced
+    private final Consumer<String> trace; // null when the process is not traced
     private final int[] closed = new int[CloseReason.values().length];
     private final int[] refused = new int[Refusal.values().length];
     private int retried;
 
     EventLog(Clock clock) {
-        this(clock, System.getenv().getOrDefault(TRACE, "").isEmpty() ? null : Node::log);
+        this(clock, System.getenv().getOrDefault(TRACE_VARIABLE, "").isEmpty() ? null : Node::log);
     }
 
-    /** @param trace takes a line for each event; null for none */
+    /** @param trace receives one line per event; null for no trace */
     EventLog(Clock clock, Consumer<String> trace) {
         this.clock = clock;
         this.trace = trace;
     }
 
+    /** Records that a client has connected. */
     void opened(long connection) {
         if (trace != null) {
-            line("opened client=" + connection);
+            writeLine("opened client=" + connection);
         }
     }
 
-    /** @param request that was under way; null for none */
-    void closed(long connection, CloseReason why, String request) {
-        closed[why.ordinal()]++;
+    /** @param request id of the request that is left unanswered; null when there is none */
+    void closed(long connection, CloseReason reason, String request) {
+        closed[reason.ordinal()]++;
         if (trace != null) {
-            line("closed client=" + connection + " reason=" + lower(why) + (request == null ? "" : " request=" + request));
+            writeLine("closed client=" + connection + " reason=" + lowerCaseName(reason) + (request == null ? "" : " request=" + request));
         }
     }
 
-    void taken(long connection, String request) {
+    /** Records that a request was passed to the decision engine. */
+    void requestReceived(long connection, String request) {
         if (trace != null) {
-            line("taken request=" + request + " client=" + connection);
+            writeLine("taken request=" + request + " client=" + connection);
         }
     }
 
-    void refused(String request, Refusal why) {
-        refused[why.ordinal()]++;
+    void refused(String request, Refusal reason) {
+        refused[reason.ordinal()]++;
         if (trace != null) {
-            line("refused request=" + request + " reason=" + lower(why));
+            writeLine("refused request=" + request + " reason=" + lowerCaseName(reason));
         }
     }
 
     void failed(String request) {
         if (trace != null) {
-            line("failed request=" + request);
+            writeLine("failed request=" + request);
         }
     }
 
-    /** @param number of the attempt; above 0 it repeats the request */
-    void attempted(String request, int number, String host) {
+    /** @param number of the attempt; above 0 the attempt repeats the request */
+    void attemptStarted(String request, int number, String host) {
         if (number > 0) {
             retried++;
         }
         if (trace != null) {
-            line("attempt request=" + request + " number=" + number + " host=" + host);
+            writeLine("attempt request=" + request + " number=" + number + " host=" + host);
         }
     }
 
     void attemptEnded(String request, int number, Outcome outcome) {
         if (trace != null) {
-            line("attempt-ended request=" + request + " number=" + number + " outcome=" + lower(outcome));
+            writeLine("attempt-ended request=" + request + " number=" + number + " outcome=" + lowerCaseName(outcome));
         }
     }
 
-    /** What the process does from now on: serves, drains, ... */
+    /** Records a change in the state of the process, such as the start of a drain. */
     void state(String what) {
         if (trace != null) {
-            line("state " + what);
+            writeLine("state " + what);
         }
     }
 
-    private void line(String event) {
+    private void writeLine(String event) {
         trace.accept(String.format(Locale.ROOT, "trace %.1f %s", clock.now(), event));
     }
 
-    private static String lower(Enum<?> name) {
+    private static String lowerCaseName(Enum<?> name) {
         return name.name().toLowerCase(Locale.ROOT);
     }
 
-    /** {@code  name=count} for all that is not 0; the counts begin anew. */
-    String take() {
+    /** Returns {@code  name=count} for each count above 0 and resets the counts. */
+    String takeCounts() {
         StringBuilder text = new StringBuilder();
         append(text, "closed_", CloseReason.values(), closed);
         append(text, "refused_", Refusal.values(), refused);
@@ -119,7 +121,7 @@
     private static void append(StringBuilder text, String prefix, Enum<?>[] names, int[] counts) {
         for (int i = 0; i < counts.length; i++) {
             if (counts[i] > 0) {
-                text.append(' ').append(prefix).append(lower(names[i])).append('=').append(counts[i]);
+                text.append(' ').append(prefix).append(lowerCaseName(names[i])).append('=').append(counts[i]);
                 counts[i] = 0;
             }
         }
--- a/gateway/src/main/java/marlford/gateway/net/EventLoopLag.java
+++ b/gateway/src/main/java/marlford/gateway/net/EventLoopLag.java
@@ -4,35 +4,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How late the event loop comes to what waits for it: a beat against its due time. What is read now may have stood
- * in its socket for so long, so its time is counted from before the loop was busy, not from the reading.
+ * Measures how late the event loop runs its tasks, by the delay of a periodic tick. Input that is read now may have waited
+ * in its socket for that long, so the time of a request is counted from before the loop was busy, not from when it is read.
  */
 final class EventLoopLag {
-    private static final long BEAT_MS = 20;
-    private static final double GRAIN_MS = 10; // less is the timers' own doing
+    private static final long TICK_MS = 20;
+    private static final double TIMER_TOLERANCE_MS = 10; // a smaller delay is caused by the timers themselves
 
     private final Clock clock;
     private final EventLoop loop;
-    private double due;
-    private double last;
+    private double dueMs;
+    private double lastLagMs;
 
     EventLoopLag(Clock clock, EventLoop loop) {
         this.clock = clock;
         this.loop = loop;
     }
 
-    /** On the event loop. */
+    /** Starts the periodic tick. Must be called on the event loop. */
     void start() {
-        due = clock.now() + BEAT_MS;
+        dueMs = clock.now() + TICK_MS;
         loop.schedule(() -> {
-            last = clock.now() - due;
+            lastLagMs = clock.now() - dueMs;
             start();
-        }, BEAT_MS, TimeUnit.MILLISECONDS);
+        }, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** The lateness of the last beat, or of the next one where that is overdue by more. */
+    /** Returns the lag in milliseconds: the delay of the last tick, or of the next one if that is overdue by more. */
     double ms() {
-        double lag = Math.max(last, clock.now() - due);
-        return due > 0 && lag > GRAIN_MS ? lag : 0;
+        double lag = Math.max(lastLagMs, clock.now() - dueMs);
+        return dueMs > 0 && lag > TIMER_TOLERANCE_MS ? lag : 0;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/GatewayExtensions.java
+++ b/gateway/src/main/java/marlford/gateway/net/GatewayExtensions.java
@@ -5,14 +5,16 @@
 import java.util.function.Supplier;
 
 /**
- * What others add to a gateway that is part of something larger.
+ * Extensions of a gateway that is part of a larger system.
  *
- * @param pages on the operators' console, by their paths; each is asked on the console's loop
- * @param usage takes note of what was let in
- * @param lists says whose turn it is to ask an agent for its list
- * @param serving is given the gateway once it serves clients
+ * @param pages additional pages of the operator console by path; each supplier is called on the console's event loop
+ * @param usageRecorder records admitted requests
+ * @param sharedListFetch coordinates which gateway fetches the host list from a discovery agent
+ * @param onServing receives the gateway once it serves clients
  */
-public record GatewayExtensions(Map<String, Supplier<String>> pages, UsageRecorder usage, SharedListFetch lists, Consumer<ServingGateway> serving) {
-    /** A gateway that stands alone. */
-    public static final GatewayExtensions NONE = new GatewayExtensions(Map.of(), UsageRecorder.NONE, SharedListFetch.NONE, inside -> { });
+public record GatewayExtensions(Map<String, Supplier<String>> pages, UsageRecorder usageRecorder, SharedListFetch sharedListFetch,
+        Consumer<ServingGateway> onServing) {
+    /** Extensions of a standalone gateway, which do nothing. */
+    public static final GatewayExtensions NONE =
+            new GatewayExtensions(Map.of(), UsageRecorder.NONE, SharedListFetch.NONE, gateway -> { });
 }
--- a/gateway/src/main/java/marlford/gateway/net/JsonTree.java
+++ b/gateway/src/main/java/marlford/gateway/net/JsonTree.java
@@ -13,8 +13,8 @@
 import java.io.InputStream;
 
 /**
- * JSON text as a tree, put together from the parser's tokens. The library's own mapper does the same and much else,
- * for which it sets up date formats, locales and introspection: a quarter of the processor time of a start.
+ * Builds a tree of JSON nodes from the tokens of the streaming parser. The object mapper of the library does the same, but
+ * it also initializes date formats, locales and introspection, which takes a quarter of the processor time of a start.
  */
 final class JsonTree {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -22,7 +22,7 @@
 
     private JsonTree() { }
 
-    /** The first value of the text; a missing node where there is none. The parser bounds how deep it may nest. */
+    /** Reads the first value of the text; returns a missing node for an empty text. The parser limits the nesting depth. */
     static JsonNode read(InputStream text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             JsonToken first = parser.nextToken();
@@ -32,7 +32,7 @@
 
     private static JsonNode value(JsonParser parser, JsonToken token) throws IOException {
         if (token == null) {
-            throw new JsonParseException(parser, "the text ends inside a value");
+            throw new JsonParseException(parser, "expected a JSON value, found the end of the text");
         }
         switch (token) {
             case START_OBJECT:
@@ -52,7 +52,7 @@
             case VALUE_NULL:
                 return NODES.nullNode();
             default:
-                throw new JsonParseException(parser, "unexpected " + token);
+                throw new JsonParseException(parser, "expected a JSON value, found the token " + token);
         }
     }
 
@@ -66,8 +66,8 @@
 
     private static ArrayNode array(JsonParser parser) throws IOException {
         ArrayNode array = NODES.arrayNode();
-        for (JsonToken t = parser.nextToken(); t != JsonToken.END_ARRAY; t = parser.nextToken()) {
-            array.add(value(parser, t));
+        for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
+            array.add(value(parser, token));
         }
         return array;
     }
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -41,232 +41,246 @@
 import marlford.gateway.upgrade.Successor;
 
 /**
- * One api gateway: the event loop on which everything runs, the clock, the timers, the decision module and the
- * table of open requests. It carries out what the module decides and tells it what came of it.
+ * One api gateway process: the event loop that runs all request handling, the clock, the timers, the decision engine
+ * and the table of open requests. It carries out the actions of the decision engine and reports their results to it as
+ * events. Unless stated otherwise, methods run on the event loop.
  */
 public final class Node implements Actions {
-    private static final long POLL_MS = 20; // how often a drain looks whether all is answered
-    private static final long GAUGE_MS = 250; // how often the hosts are counted for the operators
-    private static final long ACCOUNT_MS = 1000; // how often it logs what it did
-    static final long TURN_MS = 2; // a timer's end: the event loop has been round since it was set
-    private static final long LISTEN_AGAIN_MS = 50;
-    private static final double EARNS_NOTHING_MS = 500; // after its time; an answer later than that counts as none
+    private static final long DRAIN_POLL_MS = 20; // interval at which a drain checks whether every request is answered
+    private static final long HOST_COUNT_INTERVAL_MS = 250; // interval at which host counts are published to the console
+    private static final long ACTIVITY_LOG_INTERVAL_MS = 1000;
+    static final long LOOP_ITERATION_MS = 2; // a timer of this length fires only after the event loop has run at least once
+    private static final long LISTEN_RETRY_DELAY_MS = 50;
+    private static final double LATE_ANSWER_LIMIT_MS = 500; // an answer later than this past the deadline counts as none
     private static final double MICROS_PER_MS = 1000;
-    private static final double[] NO_REPORT = new double[0];
+    private static final double[] NO_LOAD_REPORT = new double[0];
 
-    /** Something that the module is to be told. */
-    private interface Event {
-        void tell(double now, Events module);
+    /** An event that waits to be delivered to the decision engine. */
+    private interface PendingEvent {
+        /** @param now time of delivery in milliseconds, on the node's clock */
+        void deliver(double now, Events engine);
     }
 
-    /** The way to the other gateways. */
+    /** Sends messages to the other gateways. */
     interface Mail {
+        /** @param peer index of the receiver in the configured list of peers */
         void send(int peer, byte[] data);
     }
 
     final NodeConfig config;
     final Clock clock;
-    final ShutdownSchedule end;
+    final ShutdownSchedule shutdownSchedule;
     final Transport transport;
     final NioEventLoopGroup group;
     final EventLoop loop;
     final EventLoopLag lag;
     final ServiceMetrics figures;
-    private final Events module;
-    final EventLog events;
+    private final Events engine;
+    final EventLog eventLog;
     final RuleCounter rules = new RuleCounter();
     private final ClientDepartureCounters departures = new ClientDepartureCounters();
-    private final ArrayDeque<Event> untold = new ArrayDeque<>();
-    private final Map<String, OpenRequest> open = new HashMap<>();
+    private final ArrayDeque<PendingEvent> pendingEvents = new ArrayDeque<>();
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
     final ClientServer clients;
-    private final HostClient hosts;
-    private final HostStateTracker states;
+    private final HostClient hostClient;
+    private final HostStateTracker hostStates;
     private final Discovery discovery;
-    private final PeerLink peers;
-    private Mail mail;
+    private final PeerLink peerLink;
+    private Mail peerSender;
     private final CountDownLatch drained = new CountDownLatch(1);
-    private boolean telling;
-    private boolean serving; // before, what peers say is for the ears of a module that has not begun
-    private final AdminCommandHandler operators;
-    GatewayExtensions extras = GatewayExtensions.NONE; // set ahead of the start
-    private Console console; // null where there is none
+    private boolean delivering;
+    private boolean serving; // messages from peers are dropped until then, because the engine has not been started
+    private final AdminCommandHandler adminCommands;
+    GatewayExtensions extras = GatewayExtensions.NONE; // must be set before start()
+    private Console console; // null when no console address is configured
     private boolean draining;
-    private boolean leaving; // that has come so far that clients no longer stay
+    private boolean releasingClients; // the drain has reached the point from which every answer closes its connection
     private boolean quiesced;
-    private boolean replaced; // another process accepts clients in this one's place
-    private double awayAt = Double.POSITIVE_INFINITY; // since when clients are sent away
-    private boolean over; // the drain's time is up: nothing more is sent
-    private volatile boolean unserved; // told to end before any client was served
+    private boolean replaced; // another process accepts clients instead of this one
+    private double releasingSinceMs = Double.POSITIVE_INFINITY; // when client connections began to be closed after an answer
+    private boolean sendingStopped; // the drain has run out of time and no further attempt is sent
+    private volatile boolean endedBeforeServing; // told to end before any client was served
 
     Node(NodeConfig config) {
         this(config, DecisionEngine::new);
     }
 
-    /** With a module of the caller's making. */
-    Node(NodeConfig config, Function<Actions, Events> maker) {
-        this(config, maker, Transport.TCP, new NioEventLoopGroup(1));
+    /** Creates a node with the given decision engine in place of {@link DecisionEngine}. */
+    Node(NodeConfig config, Function<Actions, Events> engineFactory) {
+        this(config, engineFactory, Transport.TCP, new NioEventLoopGroup(1));
     }
 
-    Node(NodeConfig config, Function<Actions, Events> maker, Transport transport, NioEventLoopGroup group) {
-        this(config, maker, transport, group, new Clock());
+    Node(NodeConfig config, Function<Actions, Events> engineFactory, Transport transport, NioEventLoopGroup group) {
+        this(config, engineFactory, transport, group, new Clock());
     }
 
-    Node(NodeConfig config, Function<Actions, Events> maker, Transport transport, NioEventLoopGroup group,
+    Node(NodeConfig config, Function<Actions, Events> engineFactory, Transport transport, NioEventLoopGroup group,
             Clock clock) {
         this.config = config;
         this.clock = clock;
-        this.events = transport == Transport.MEMORY ? new EventLog(clock, null) : new EventLog(clock); // no trace of a warm-up
-        this.end = ShutdownSchedule.of(config.settings().classes().stream().mapToDouble(RequestClass::deadlineMs).max()
+        // A warm-up node, which uses the in-memory transport, writes no trace.
+        this.eventLog = transport == Transport.MEMORY ? new EventLog(clock, null) : new EventLog(clock);
+        this.shutdownSchedule = ShutdownSchedule.of(config.settings().classes().stream().mapToDouble(RequestClass::deadlineMs).max()
                 .orElse(0));
         this.transport = transport;
         this.group = group;
         this.loop = group.next();
         this.lag = new EventLoopLag(clock, loop);
-        this.module = maker.apply(this);
+        this.engine = engineFactory.apply(this);
         this.figures = new ServiceMetrics(config.settings().classes().stream().map(RequestClass::name).toList());
         this.clients = new ClientServer(this);
-        this.hosts = new HostClient(this);
-        this.states = new HostStateTracker(clock);
+        this.hostClient = new HostClient(this);
+        this.hostStates = new HostStateTracker(clock);
         this.discovery = new Discovery(this);
-        this.peers = new PeerLink(this);
-        this.operators = new AdminCommandHandler(loop, this::quiesce, this::resume, () -> discovery.leaveOut(console.leftOut()));
-        this.mail = peers;
+        this.peerLink = new PeerLink(this);
+        this.adminCommands = new AdminCommandHandler(loop, this::quiesce, this::resume, () -> discovery.leaveOut(console.leftOut()));
+        this.peerSender = peerLink;
     }
 
-    /** Serves until SIGTERM; a bad configuration or an address that can't be had ends it with one line. */
+    /**
+     * Serves clients until SIGTERM. An invalid configuration or an address that can't be bound ends the process with one
+     * line on stderr and status 1.
+     */
     public static void main(String configFile) {
         main(configFile, GatewayExtensions.NONE);
     }
 
-    /** The same, with what others add. */
+    /** Same as {@link #main(String)}, with the extensions of a larger system. */
     public static void main(String configFile, GatewayExtensions extras) {
         StderrLogger.install();
-        ConfigurationReloader reload = ConfigurationReloader.onHangup(configFile); // first of all: SIGHUP ends a process that does not take it
+        ConfigurationReloader reloader = ConfigurationReloader.onHangup(configFile); // first: an unhandled SIGHUP ends the process
         try {
-            serve(reload, System.getenv("TMPDIR"), StartBudget.ofThisProcess(), true, extras);
+            serve(reloader, System.getenv("TMPDIR"), StartBudget.ofThisProcess(), true, extras);
         } catch (NodeConfig.BadConfig | IOException | InterruptedException e) {
             System.err.println("deckfall: " + e.getMessage());
             Runtime.getRuntime().halt(1);
         }
     }
 
-    static Node serve(ConfigurationReloader reload, String folder, StartBudget budget, boolean alone)
+    static Node serve(ConfigurationReloader reloader, String folder, StartBudget budget, boolean ownsProcess)
             throws NodeConfig.BadConfig, IOException, InterruptedException {
-        return serve(reload, folder, budget, alone, GatewayExtensions.NONE);
+        return serve(reloader, folder, budget, ownsProcess, GatewayExtensions.NONE);
     }
 
     /**
-     * The whole of a start. Returns once clients are served.
+     * Runs a complete start and returns when clients are served, or when the process was told to end during the start.
      *
-     * @param folder where the processes of one gateway meet; null for nowhere
-     * @param alone whether this process is the node's, and ends with it
-     * @param extras what others add
+     * @param folder directory in which the processes of one gateway find each other; null disables upgrades
+     * @param ownsProcess whether the node owns this process, which then drains the node when it exits
+     * @param extras extensions of a larger system
      */
-    private static Node serve(ConfigurationReloader reload, String folder, StartBudget budget, boolean alone,
+    private static Node serve(ConfigurationReloader reloader, String folder, StartBudget budget, boolean ownsProcess,
             GatewayExtensions extras) throws NodeConfig.BadConfig, IOException, InterruptedException {
-        NodeConfig config = reload.first();
+        NodeConfig config = reloader.first();
         RuntimeDirectory runtimeDirectory = RuntimeDirectory.in(folder, config.name(), config.listen());
-        Predecessor serves = runtimeDirectory == null ? null : Predecessor.find(runtimeDirectory.successor(), budget.limitMs(Step.HELLO));
-        if (runtimeDirectory != null && serves == null && !Transport.TCP.isFree(config.listen())) { // a process of before, or a stranger
-            RuntimeDirectory before = RuntimeDirectory.before(folder, config.name());
-            serves = Predecessor.find(before.successor(), budget.limitMs(Step.HELLO));
-            runtimeDirectory = serves == null ? runtimeDirectory : new RuntimeDirectory(before.leftOut(), runtimeDirectory.successor());
-        }
-        Node early = new Node(config);
-        early.extras = extras;
-        early.openConsole(runtimeDirectory);
-        if (serves == null) {
-            early.loop.execute(early.peers::start);
-        }
-        long began = budget.ageMs();
-        long patience = budget.limitMs(serves == null ? Step.WARM_UP_ALONE : Step.WARM_UP);
-        int answers = WarmUp.run(config, WarmUp.ENOUGH, patience, early::isMissed);
-        log("warm after " + answers + " answers, from " + began + " to " + budget.ageMs() + " ms of this process");
-        NodeConfig newest = reload.newest(); // seconds have passed, and nobody need have sent a signal
-        Node node = early;
+        Predecessor predecessor = runtimeDirectory == null ? null
+                : Predecessor.find(runtimeDirectory.successor(), budget.limitMs(Step.HELLO));
+        // The address may be held by a process of an earlier version or by an unrelated program.
+        if (runtimeDirectory != null && predecessor == null && !Transport.TCP.isFree(config.listen())) {
+            RuntimeDirectory earlierVersion = RuntimeDirectory.before(folder, config.name());
+            predecessor = Predecessor.find(earlierVersion.successor(), budget.limitMs(Step.HELLO));
+            runtimeDirectory = predecessor == null ? runtimeDirectory
+                    : new RuntimeDirectory(earlierVersion.excludedHosts(), runtimeDirectory.successor());
+        }
+        Node initialNode = new Node(config);
+        initialNode.extras = extras;
+        initialNode.openConsole(runtimeDirectory);
+        if (predecessor == null) {
+            initialNode.loop.execute(initialNode.peerLink::start);
+        }
+        long beganMs = budget.ageMs();
+        long limitMs = budget.limitMs(predecessor == null ? Step.WARM_UP_ALONE : Step.WARM_UP);
+        int answers = WarmUp.run(config, WarmUp.FULL_WARM_UP_ANSWERS, limitMs, initialNode::isMissed);
+        log("warm after " + answers + " warm-up answers, from " + beganMs + " to " + budget.ageMs() + " ms of process age");
+        NodeConfig newest = reloader.newest(); // the file may have changed during the warm-up, with or without a SIGHUP
+        Node node = initialNode;
         if (newest != config) {
-            early.stop();
+            initialNode.stop();
             node = new Node(newest);
             node.extras = extras;
             node.openConsole(runtimeDirectory);
-            log("the configuration was replaced during the start");
+            log("start: the configuration file changed during the warm-up; the start continues with its new content");
         }
-        reload.follow(newest, node::reload);
-        Thread drain = new Thread(node::drainAndHalt); // in a rehearsal, too: its class is to be in the archive
-        if (alone) {
+        reloader.follow(newest, node::reload);
+        Thread drain = new Thread(node::drainAndHalt); // created in a rehearsal too, so that its class gets into the archive
+        if (ownsProcess) {
             Runtime.getRuntime().addShutdownHook(drain);
         }
-        if (!node.start(serves, budget)) {
-            log("told to end during its start: it serves nobody");
-            return node; // the drain ends the process, and with it whoever served before learns of it
+        if (!node.start(predecessor, budget)) {
+            log("start: the process was told to end before the listener opened; it exits without serving clients");
+            return node; // the shutdown hook ends the process, and a predecessor notices that the connection closes
         }
         log("serves after " + budget.ageMs() + " ms of this process");
-        extras.serving().accept(node.inside());
+        extras.onServing().accept(node.servingGateway());
         if (runtimeDirectory != null) {
-            // On a thread of its own: the exit runs the hook that ends what is open, and returns to nobody.
-            Runnable end = () -> new Thread(() -> System.exit(0)).start();
-            new Successor(runtimeDirectory.successor(), node.place(end), Node::log).open();
+            // On its own thread, because System.exit runs the shutdown hook that drains the node and never returns.
+            Runnable exit = () -> new Thread(() -> System.exit(0)).start();
+            new Successor(runtimeDirectory.successor(), node.place(exit), Node::log).open();
         }
         return node;
     }
 
+    /** Starts without a predecessor, with the time limits of a process that starts now. */
     void start() throws IOException {
         ProcessStartTime now = ProcessStartTime.ofNow();
         start(null, new StartBudget(now::ageMs));
     }
 
     /**
-     * Returns once clients are served. Configuration, list and listener are of one moment: the listener opens when
-     * discovery has spoken, or has had its time, and not with the list of some earlier life. It opens for nobody who was
-     * told to end by then: its clients would be shut out again within moments.
+     * Starts the node and returns when clients are served. Blocks, so it must not be called on the event loop.
+     *
+     * <p>The listener opens when discovery has sent a host list or its time limit has passed, so that configuration, host
+     * list and listener belong to the same moment and no client is served by the host list of an earlier incarnation. The
+     * listener stays closed in a process that was told to end meanwhile, as its clients would be disconnected again within
+     * moments.
      *
      * @return whether clients are served
-     * @param serves the process that serves in this one's place until then; null for nobody
-     * @param budget what the start may still wait for
+     * @param predecessor the process that has served clients until now; null when there is none
+     * @param budget time limits of the remaining steps
      */
-    boolean start(Predecessor serves, StartBudget budget) throws IOException {
+    boolean start(Predecessor predecessor, StartBudget budget) throws IOException {
         openConsole(null);
-        CountDownLatch heard = new CountDownLatch(1);
+        CountDownLatch listReceived = new CountDownLatch(1);
         try {
-            boolean taken = serves != null && serves.take(budget.limitMs(Step.TAKEN));
-            if (!taken) {
+            boolean tookOver = predecessor != null && predecessor.take(budget.limitMs(Step.TAKEN));
+            if (!tookOver) {
                 StartRetry.call(() -> {
                     transport.claim(config.listen());
                     return null;
                 });
             }
-            if (taken && serves.away()) {
-                operators.quiesce();
+            if (tookOver && predecessor.away()) {
+                adminCommands.quiesce();
             }
             loop.submit(() -> {
-                if (!peers.started()) {
-                    peers.start();
+                if (!peerLink.started()) {
+                    peerLink.start();
                 }
-                begin();
-                if (!taken) { // else the gateway is in service, and an upgrade does not end that
+                beginServing();
+                if (!tookOver) { // during an upgrade the gateway stays in service
                     discovery.awaitList(budget.unhealthyMs(!isMissed()));
                 }
-                discovery.start(heard::countDown);
+                discovery.start(listReceived::countDown);
             }).sync();
-            // Without a word the list of before the start serves.
-            heard.await(budget.limitMs(Step.WORD), TimeUnit.MILLISECONDS);
+            // Without an answer from discovery the host list from before the start is used.
+            listReceived.await(budget.limitMs(Step.WORD), TimeUnit.MILLISECONDS);
             if (!StartRetry.call(this::openListener)) {
                 return false;
             }
-            if (taken && !serves.serving(budget.limitMs(Step.LEFT))) {
-                log("upgrade: the process that served did not say that it left");
+            if (tookOver && !predecessor.serving(budget.limitMs(Step.LEFT))) {
+                log("upgrade: the previous process did not confirm in time that it stopped accepting; check that it has ended");
             }
-            operators.ready(!taken || !serves.away());
+            adminCommands.setReady(!tookOver || !predecessor.away());
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
-        } catch (Exception e) { // netty throws what failed as it is, checked or not
+            throw new IOException("interrupted while starting", e);
+        } catch (Exception e) { // Netty rethrows the original cause, which may be a checked exception that is not declared
             throw new IOException("can't start: " + e.getMessage(), e);
         }
     }
 
-    /** Returns whether clients are served; they are not where the process was told to end by now. */
+    /** Opens the listener; returns false without opening it when the process has been told to end meanwhile. */
     private boolean openListener() throws InterruptedException {
         ChannelFuture opening = loop.submit(() -> draining ? null : clients.start()).sync().getNow();
         if (opening == null) {
@@ -277,18 +291,19 @@
     }
 
     /**
-     * Operators may call from now on; a second call does nothing.
+     * Opens the console for operators if one is configured; a second call does nothing.
      *
-     * @param runtimeDirectory where what they say outlives the process; null for nowhere
+     * @param runtimeDirectory where operator commands that outlive the process are stored; null to store nothing
      */
     void openConsole(RuntimeDirectory runtimeDirectory) throws IOException {
         if (console == null && config.console() != null) {
-            console = new Console(operators, figures, extras.pages(), runtimeDirectory == null ? null : runtimeDirectory.leftOut(), Node::log);
-            listenForOperators();
+            console = new Console(adminCommands, figures, extras.pages(),
+                    runtimeDirectory == null ? null : runtimeDirectory.excludedHosts(), Node::log);
+            listenOnConsole();
         }
     }
 
-    private void listenForOperators() throws IOException {
+    private void listenOnConsole() throws IOException {
         try {
             StartRetry.call(() -> {
                 console.listen(config.console());
@@ -303,39 +318,39 @@
 
     private void quiesce() {
         quiesced = true;
-        awayAt = Math.min(awayAt, clock.now());
-        operators.ready(false);
+        releasingSinceMs = Math.min(releasingSinceMs, clock.now());
+        adminCommands.setReady(false);
     }
 
     private void resume() {
         quiesced = false;
-        stay();
+        keepClientsIfAllowed();
     }
 
-    /** Clients stay, where nothing else speaks against it. */
-    private void stay() {
-        if (!draining && !sendsAway()) {
-            awayAt = Double.POSITIVE_INFINITY;
-            operators.ready(clients.listener() != null);
+    /** Keeps client connections open again, unless a drain, a quiesce command or a successor requires otherwise. */
+    private void keepClientsIfAllowed() {
+        if (!draining && !releasesClients()) {
+            releasingSinceMs = Double.POSITIVE_INFINITY;
+            adminCommands.setReady(clients.listener() != null);
         }
     }
 
-    // ---- an upgrade: docs/design/upgrade.md
+    // ---- upgrade: docs/design/upgrade.md
 
     /**
-     * What a process that is to take this one's place asks of it.
+     * Returns the steps that a successor process requests of this one during an upgrade.
      *
-     * @param end runs once that process has proved itself
+     * @param exit runs once the successor serves clients
      */
-    Successor.Place place(Runnable end) {
+    Successor.Place place(Runnable exit) {
         return new Successor.Place() {
             @Override
             public boolean release() throws InterruptedException {
                 loop.submit(() -> {
-                    peers.stop();
-                    tell((now, m) -> m.onReplaced(now));
+                    peerLink.stop();
+                    deliver((now, events) -> events.onReplaced(now));
                 }).sync();
-                return loop.schedule(() -> quiesced, TURN_MS, TimeUnit.MILLISECONDS).sync().getNow();
+                return loop.schedule(() -> quiesced, LOOP_ITERATION_MS, TimeUnit.MILLISECONDS).sync().getNow();
             }
 
             @Override
@@ -343,404 +358,418 @@
                 loop.submit(clients::pause).sync();
                 loop.schedule(() -> {
                     replaced = true;
-                    awayAt = Math.min(awayAt, clock.now());
-                    operators.ready(false);
+                    releasingSinceMs = Math.min(releasingSinceMs, clock.now());
+                    adminCommands.setReady(false);
                     clients.leave();
-                }, TURN_MS, TimeUnit.MILLISECONDS).sync();
+                }, LOOP_ITERATION_MS, TimeUnit.MILLISECONDS).sync();
             }
 
             @Override
             public void takeBack() throws InterruptedException {
-                loop.submit(Node.this::takeBack).sync();
+                loop.submit(Node.this::resumeAfterHandover).sync();
             }
 
             @Override
             public void end() {
-                end.run();
+                exit.run();
             }
         };
     }
 
-    private void takeBack() {
+    private void resumeAfterHandover() {
         if (draining) {
-            return; // an end was asked for meanwhile
+            return; // the process was told to end meanwhile
         }
-        peers.start();
-        tell((now, m) -> m.onRestored(now));
+        peerLink.start();
+        deliver((now, events) -> events.onRestored(now));
         if (replaced) {
             replaced = false;
-            listenAgain();
-            stay();
+            reopenListener();
+            keepClientsIfAllowed();
         }
     }
 
-    private void listenAgain() {
+    private void reopenListener() {
         if (draining || replaced) {
             return;
         }
         clients.start().addListener(f -> {
             if (!f.isSuccess()) {
-                log("upgrade: can't listen again, and tries on: " + f.cause().getMessage());
-                loop.schedule(this::listenAgain, LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+                log("upgrade: can't reopen the listener after the new process failed, will retry: " + f.cause().getMessage());
+                loop.schedule(this::reopenListener, LISTEN_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             }
         });
     }
 
-    /** What only the event loop can count, made known to the console's. */
-    private void gauge() {
-        loop.schedule(this::gauge, GAUGE_MS, TimeUnit.MILLISECONDS);
-        figures.cluster(operators.listedCount(), avoided());
+    /** Publishes the host counts, which only the event loop can compute, to the console. */
+    private void publishHostCounts() {
+        loop.schedule(this::publishHostCounts, HOST_COUNT_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        figures.cluster(adminCommands.listedHostCount(), avoided());
     }
 
-    /** How many hosts are not trusted, or closed; on the event loop. */
+    /** Returns the number of listed hosts that are distrusted or closed. */
     int avoided() {
-        return module.avoidedHostCount(clock.now());
+        return engine.avoidedHostCount(clock.now());
     }
 
-    /** One line a second of what was done and how late the loop is: a fleet's logs can be added up by second. */
-    private void account() {
-        loop.schedule(this::account, ACCOUNT_MS, TimeUnit.MILLISECONDS);
-        extras.usage().look();
-        String done = module.takeActivityLine(clock.now());
-        if (!done.isEmpty()) {
-            log("did " + done + " clients=" + clients.count() + " late=" + Math.round(lag.ms()) + departures.take()
-                    + events.take() + rules.text());
+    /** Logs one line per second of activity counts and event loop lag; the lines of many gateways can be added up by second. */
+    private void logActivity() {
+        loop.schedule(this::logActivity, ACTIVITY_LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        extras.usageRecorder().look();
+        String activity = engine.takeActivityLine(clock.now());
+        if (!activity.isEmpty()) {
+            log("did " + activity + " clients=" + clients.connectionCount() + " late=" + Math.round(lag.ms()) + departures.takeCounts()
+                    + eventLog.takeCounts() + rules.text());
         }
     }
 
-    /** Whether the fleet serves clients, which would come here, too, rather than wait for this gateway's full speed. */
+    /**
+     * Whether other gateways have been heard from. Their clients would rather be served by this gateway at once than wait
+     * until it has reached its full speed.
+     */
     boolean isMissed() {
-        return peers.hasHeard();
+        return peerLink.hasHeard();
     }
 
-    /** Begins to serve, on the event loop, with the hosts that the configuration names. */
+    /** Starts the decision engine with the hosts in the configuration and opens the listener. */
     ChannelFuture listen() {
-        begin();
+        beginServing();
         return clients.start();
     }
 
-    private void begin() {
+    private void beginServing() {
         serving = true;
-        if (transport == Transport.TCP) { // no warm-up's
-            loop.schedule(this::account, ACCOUNT_MS, TimeUnit.MILLISECONDS);
+        if (transport == Transport.TCP) { // a warm-up node logs no activity
+            loop.schedule(this::logActivity, ACTIVITY_LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
         lag.start();
-        tell((now, m) -> m.onStart(now, config.settings()));
-        double since = peers.aloneSince();
-        if (since < Double.POSITIVE_INFINITY) {
-            tell((now, m) -> m.onNoOtherSpenderSince(now, since));
+        deliver((now, events) -> events.onStart(now, config.settings()));
+        double aloneSinceMs = peerLink.aloneSince();
+        if (aloneSinceMs < Double.POSITIVE_INFINITY) {
+            deliver((now, events) -> events.onNoOtherSpenderSince(now, aloneSinceMs));
         }
         if (console != null) {
             discovery.leaveOut(console.leftOut());
-            gauge();
+            publishHostCounts();
         }
         if (config.known().hasNonNull(Discovery.LIST)) {
             discovery.known(config.known());
         }
     }
 
-    /** Another way to the other gateways than datagrams. */
-    void linkBy(Mail other) {
-        mail = other;
+    /** Replaces the datagram link to the other gateways. */
+    void usePeerSender(Mail other) {
+        peerSender = other;
     }
 
-    /** Takes from a new configuration what may change while clients are served; the rest waits for a restart. */
-    void reload(NodeConfig fresh) {
-        loop.execute(() -> discovery.move(fresh.discovery()));
+    /** Applies the settings that may change while clients are served; the others take effect at the next start. */
+    void reload(NodeConfig newConfig) {
+        loop.execute(() -> discovery.move(newConfig.discovery()));
     }
 
+    /** Writes a line to stderr, the log of the process. May be called from any thread. */
     static void log(String line) {
         System.err.println(line);
     }
 
-    // ---- telling the module
+    // ---- events to the decision engine
 
     /**
-     * Tells the module in order, and never from inside itself: what its own actions bring about at once waits
-     * until it has returned.
+     * Delivers an event to the decision engine. Events are delivered in order and never from within the engine: an event
+     * that an action of the engine causes waits until the current call has returned.
      */
-    private void tell(Event event) {
-        untold.add(event);
-        if (telling) {
+    private void deliver(PendingEvent event) {
+        pendingEvents.add(event);
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
-            for (Event next = untold.poll(); next != null; next = untold.poll()) {
+            for (PendingEvent next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 try {
-                    next.tell(clock.now(), module);
-                } catch (RuntimeException e) { // the guard of its deadline still answers the request concerned
+                    next.deliver(clock.now(), engine);
+                } catch (RuntimeException e) { // the request concerned is still answered by its deadline timer
                     log("defect: the module threw " + e);
                     e.printStackTrace();
                 }
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
-    /** Whether clients are to go elsewhere: they are served, but no connection of theirs stays. */
-    boolean sendsAway() {
-        return leaving || quiesced || replaced;
+    /** Whether clients must move to another gateway: each answer closes its connection, and idle connections are closed. */
+    boolean releasesClients() {
+        return releasingClients || quiesced || replaced;
     }
 
-    /** What to say of this gateway's health: another process that serves in its place is this gateway, too. */
-    boolean takesClients() {
+    /**
+     * Returns the health of this gateway as shown to clients. It stays healthy when another process has replaced this one,
+     * as that process is the same gateway.
+     */
+    boolean isHealthy() {
         return !draining && !quiesced && discovery.ready();
     }
 
-    /** Since when that is so; infinite where it is not. */
-    double awayAt() {
-        return awayAt;
+    /** Returns since when {@link #releasesClients} holds, in milliseconds; infinite when it does not. */
+    double releasingSinceMs() {
+        return releasingSinceMs;
     }
 
-    /** Whether a request of this id is open: a second one would be answered with what was made for the first. */
+    /** Whether a request with this id is open; a second one would receive the answer that belongs to the first. */
     boolean knows(String id) {
-        return open.containsKey(id);
+        return openRequests.containsKey(id);
     }
 
-    /** Takes a request whole from its client; the entry owns the message from here on. */
-    void taken(Request r, FullHttpRequest message, ClientConnection client) {
-        OpenRequest entry = new OpenRequest(r, message, client);
-        open.put(r.id(), entry);
+    /** Adds a request of a client to the table and passes it to the engine; the entry owns the message from here on. */
+    void onRequestReceived(Request request, FullHttpRequest message, ClientConnection client) {
+        OpenRequest entry = new OpenRequest(request, message, client);
+        openRequests.put(request.id(), entry);
         figures.taken();
-        client.holds(entry);
-        double left = r.deadlineMs() - clock.now();
-        entry.guard = loop.schedule(() -> deadline(r.id()), micros(left), TimeUnit.MICROSECONDS);
-        tell((now, m) -> m.onRequest(now, r));
+        client.setCurrentRequest(entry);
+        double remainingMs = request.deadlineMs() - clock.now();
+        entry.deadlineTimer = loop.schedule(() -> deadline(request.id()), toMicros(remainingMs), TimeUnit.MICROSECONDS);
+        deliver((now, events) -> events.onRequest(now, request));
     }
 
-    private static long micros(double ms) {
+    private static long toMicros(double ms) {
         return (long) (Math.max(0, ms) * MICROS_PER_MS);
     }
 
-    /** Whether a further request is refused unread; also one that comes when nothing is sent on any more. */
-    boolean full() {
-        return over || open.size() >= config.maxOpen();
+    /** Whether further requests are refused, because too many are open or no attempt is sent any more. */
+    boolean refusesRequests() {
+        return sendingStopped || openRequests.size() >= config.maxOpenRequests();
     }
 
     boolean isDraining() {
         return draining;
     }
 
-    /** Whether nothing is sent on any more. */
-    boolean isOver() {
-        return over;
+    /** Whether no further attempt is sent. */
+    boolean hasStoppedSending() {
+        return sendingStopped;
     }
 
-    /** Rule 1: attempts end with the client's time, and what the module then leaves unanswered fails here. */
+    /** Ends the attempts of a request at its deadline. Answers the request if the engine leaves it open even then (rule 1). */
     void deadline(String id) {
-        OpenRequest r = open.get(id);
-        if (r == null) {
+        OpenRequest entry = openRequests.get(id);
+        if (entry == null) {
             return;
         }
-        endAttempts(r);
-        if (!r.closed()) {
+        timeOutAttempts(entry);
+        if (!entry.isClosed()) {
             log("defect: no answer from the module in time, request failed");
-            answer(r, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
+            answer(entry, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
         }
     }
 
-    /** Ends an attempt's connection, and only then tells of its end. */
-    void giveUp(Attempt a, Outcome outcome) {
-        a.abandon();
-        attemptEnded(a, outcome, null);
+    /** Closes the connection of an attempt before reporting the end of the attempt. */
+    void abandonAttempt(Attempt attempt, Outcome outcome) {
+        attempt.abandon();
+        attemptEnded(attempt, outcome, null);
     }
 
-    private void endAttempts(OpenRequest r) {
-        for (Attempt a : List.copyOf(r.attempts)) {
-            timeUp(a);
+    private void timeOutAttempts(OpenRequest entry) {
+        for (Attempt attempt : List.copyOf(entry.attempts)) {
+            timeOut(attempt);
         }
     }
 
-    private void timeUp(Attempt a) {
-        a.look();
-        if (!a.ended && a != a.owner.stream) { // an answer that is on its way outlasts the client's time
-            giveUp(a, Outcome.TIMEOUT);
+    private void timeOut(Attempt attempt) {
+        attempt.look();
+        // An answer that is being streamed may continue past the deadline.
+        if (!attempt.ended && attempt != attempt.owner.streamingAttempt) {
+            abandonAttempt(attempt, Outcome.TIMEOUT);
         }
     }
 
-    void clientLeft(OpenRequest r) {
-        if (r.stream != null && !r.stream.ended) {
-            giveUp(r.stream, Outcome.CANCELLED);
+    /** Ends a request whose client has disconnected, including an answer that is being streamed. */
+    void onClientDisconnected(OpenRequest entry) {
+        if (entry.streamingAttempt != null && !entry.streamingAttempt.ended) {
+            abandonAttempt(entry.streamingAttempt, Outcome.CANCELLED);
         }
-        if (r.closed()) {
+        if (entry.isClosed()) {
             return;
         }
-        close(r);
-        r.leftAt = clock.now();
-        departures.left(r.attempts.stream().anyMatch(a -> a.left));
-        tell((now, m) -> m.onClientLeft(now, r.request.id()));
-        giveUpUnsent(r);
-        forgetIfOver(r);
-    }
-
-    /** Whatever the settings say of cancelling: what has not left for a host whole must never do so. */
-    private void giveUpUnsent(OpenRequest r) {
-        for (Attempt a : List.copyOf(r.attempts)) {
-            if (!a.ended && !a.leftWhole()) {
-                giveUp(a, Outcome.CANCELLED);
+        closeRequest(entry);
+        entry.disconnectedAtMs = clock.now();
+        departures.recordDisconnect(entry.attempts.stream().anyMatch(attempt -> attempt.writeStarted));
+        deliver((now, events) -> events.onClientLeft(now, entry.request.id()));
+        cancelUnwritten(entry);
+        removeIfFinished(entry);
+    }
+
+    /** Cancels attempts that are not completely written, whatever the cancel setting says: they must never reach a host whole. */
+    private void cancelUnwritten(OpenRequest entry) {
+        for (Attempt attempt : List.copyOf(entry.attempts)) {
+            if (!attempt.ended && !attempt.leftWhole()) {
+                abandonAttempt(attempt, Outcome.CANCELLED);
             }
         }
     }
 
     /**
-     * To be called before an attempt begins, which is not to happen for a client that has left: a late loop may not have read
-     * its end yet. Where the end could not be seen, since too much unread stands in front of it, the request is answered here.
+     * Ends the request if its client has disconnected. Must be called before an attempt begins, because a late event loop may
+     * not have read the end of the connection yet. Where too much unread input hides whether the client is connected, the
+     * request is answered here.
      */
-    void endIfClientLeft(OpenRequest r) {
-        ClientConnection client = r.client();
+    void endIfClientDisconnected(OpenRequest entry) {
+        ClientConnection client = entry.client();
         if (client == null) {
             return;
         }
-        switch (client.look()) {
-            case LEFT -> clientLeft(r);
+        switch (client.checkPresence()) {
+            case DISCONNECTED -> onClientDisconnected(entry);
             case UNKNOWN -> {
-                answerUnserved(r);
-                giveUpUnsent(r);
+                answerHeldRequest(entry);
+                cancelUnwritten(entry);
             }
             case CONNECTED -> { }
         }
     }
 
     /**
-     * The answer of an attempt is too long to be kept: from here on it goes to the client as it comes, and it is the
-     * final one. Null where nobody waits for it.
+     * Starts to stream an answer that is too long to be buffered. It becomes the final answer and all other attempts are
+     * cancelled. Returns null when no client waits for it.
      */
-    HostConnection.Sink streams(Attempt a, HttpResponse head, Runnable more) {
-        OpenRequest r = a.owner;
-        ClientConnection client = a.ended || r.closed() ? null : r.client();
-        HostConnection.Sink sink = client == null ? null : client.stream(head, more);
+    HostConnection.Sink startStreaming(Attempt attempt, HttpResponse head, Runnable more) {
+        OpenRequest entry = attempt.owner;
+        ClientConnection client = attempt.ended || entry.isClosed() ? null : entry.client();
+        HostConnection.Sink sink = client == null ? null : client.startStreaming(head, more);
         if (sink == null) {
             return null;
         }
-        r.close();
-        r.stream = a;
-        r.guard.cancel(false);
-        a.streamedAt = clock.now();
-        a.stopTimer();
-        tell((now, m) -> m.onStreamStarted(now, r.request.id(), a.number));
-        for (Attempt other : List.copyOf(r.attempts)) {
-            if (other != a && !other.ended) {
-                giveUp(other, Outcome.CANCELLED);
+        entry.close();
+        entry.streamingAttempt = attempt;
+        entry.deadlineTimer.cancel(false);
+        attempt.streamedAtMs = clock.now();
+        attempt.stopTimer();
+        deliver((now, events) -> events.onStreamStarted(now, entry.request.id(), attempt.number));
+        for (Attempt other : List.copyOf(entry.attempts)) {
+            if (other != attempt && !other.ended) {
+                abandonAttempt(other, Outcome.CANCELLED);
             }
         }
         return sink;
     }
 
-    /** The end of an attempt, told once; the first whole 200 goes to the client unchanged. */
-    void attemptEnded(Attempt a, Outcome outcome, FullHttpResponse response) {
-        if (a.ended) {
+    /** Reports the end of an attempt once. The first complete answer with status 200 goes to the client unchanged. */
+    void attemptEnded(Attempt attempt, Outcome outcome, FullHttpResponse response) {
+        if (attempt.ended) {
             return;
         }
-        a.ended = true;
-        a.outcome = outcome;
-        a.stopTimer();
-        OpenRequest r = a.owner;
-        r.out--;
-        events.attemptEnded(r.request.id(), a.number, outcome);
+        attempt.ended = true;
+        attempt.outcome = outcome;
+        attempt.stopTimer();
+        OpenRequest entry = attempt.owner;
+        entry.attemptsInFlight--;
+        eventLog.attemptEnded(entry.request.id(), attempt.number, outcome);
         if (response != null) {
-            discovery.served(a.host);
+            discovery.served(attempt.host);
         }
-        if (r.stream == a) {
+        if (entry.streamingAttempt == attempt) {
             figures.closed();
-            figures.ended(r.request.requestClass(), outcome == Outcome.OK ? ServiceMetrics.End.ANSWERED : ServiceMetrics.End.ERRORED);
+            figures.ended(entry.request.requestClass(), outcome == Outcome.OK ? ServiceMetrics.End.ANSWERED : ServiceMetrics.End.ERRORED);
         }
         if (outcome == Outcome.OK) {
-            ClientConnection client = close(r);
+            ClientConnection client = closeRequest(entry);
             if (client != null) {
-                figures.ended(r.request.requestClass(), ServiceMetrics.End.ANSWERED);
-                client.serve(response);
+                figures.ended(entry.request.requestClass(), ServiceMetrics.End.ANSWERED);
+                client.sendHostAnswer(response);
             }
         }
-        boolean closed = r.closed();
-        double took = (a.streamedAt > 0 ? a.streamedAt : clock.now()) - a.sentAt;
-        double[] report = response == null ? NO_REPORT : hosts.report(response);
-        tell((now, m) -> m.onAttemptEnded(now,
-                new AttemptResult(r.request.id(), a.number, a.host, outcome, took, closed, 0, 0, report)));
-        forgetIfOver(r);
+        boolean closed = entry.isClosed();
+        double tookMs = (attempt.streamedAtMs > 0 ? attempt.streamedAtMs : clock.now()) - attempt.sentAtMs;
+        double[] report = response == null ? NO_LOAD_REPORT : hostClient.report(response);
+        deliver((now, events) -> events.onAttemptEnded(now,
+                new AttemptResult(entry.request.id(), attempt.number, attempt.host, outcome, tookMs, closed, 0, 0, report)));
+        removeIfFinished(entry);
     }
 
-    private ClientConnection close(OpenRequest r) {
-        if (!r.closed()) {
+    private ClientConnection closeRequest(OpenRequest entry) {
+        if (!entry.isClosed()) {
             figures.closed();
-            if (r.client() != null && clock.now() > r.request.deadlineMs() + EARNS_NOTHING_MS) {
+            if (entry.client() != null && clock.now() > entry.request.deadlineMs() + LATE_ANSWER_LIMIT_MS) {
                 rules.broken(Rule.ANSWERED_LATE);
             }
         }
-        return r.close();
+        return entry.close();
     }
 
-    private void forgetIfOver(OpenRequest r) {
-        if (r.closed() && r.out == 0 && open.remove(r.request.id(), r)) {
-            r.guard.cancel(false);
-            StreamedRequest.free(r.message);
+    private void removeIfFinished(OpenRequest entry) {
+        if (entry.isClosed() && entry.attemptsInFlight == 0 && openRequests.remove(entry.request.id(), entry)) {
+            entry.deadlineTimer.cancel(false);
+            StreamedRequest.discard(entry.message);
         }
     }
 
+    /** Passes a host list, or changes to it, to the connection pools, the console and the decision engine. */
     void hostsTold(ListKind kind, List<Discovery.Entry> entries) {
-        hosts.listed(kind, entries);
-        operators.listed(discovery.listed());
+        hostClient.listed(kind, entries);
+        adminCommands.setListedHosts(discovery.listed());
         List<Host> list = Discovery.hosts(entries);
-        states.told(kind, list);
-        tell((now, m) -> m.onHosts(now, kind, list));
-        hosts.giveUpComingUp(entries);
+        hostStates.told(kind, list);
+        deliver((now, events) -> events.onHosts(now, kind, list));
+        hostClient.giveUpComingUp(entries);
     }
 
+    /** Passes a message from another gateway to the decision engine. */
     void peerSaid(int peer, byte[] data) {
         if (serving) {
-            tell((now, m) -> m.onPeerMessage(now, peer, data));
+            deliver((now, events) -> events.onPeerMessage(now, peer, data));
         }
     }
 
-    // ---- what the module does
+    // ---- actions of the decision engine
 
     @Override
     public void send(String id, String host, double timeoutMs) {
-        OpenRequest r = open.get(id);
-        if (r == null) {
+        OpenRequest entry = openRequests.get(id);
+        if (entry == null) {
             return;
         }
-        endIfClientLeft(r);
+        endIfClientDisconnected(entry);
         double now = clock.now();
-        Attempt a = new Attempt(this, r, host, now);
-        r.attempts.add(a);
-        r.out++;
-        RequestBodyStream rest = StreamedRequest.restOf(r.message);
-        boolean gone = rest != null && !rest.untouched(); // a part of its body went to a host, and no other has it
-        if (gone || over || r.closed() || now >= r.request.deadlineMs()
-                || a.number >= config.settings().limits().maxAttempts() || breaksRule(a, now)) {
-            attemptEnded(a, Outcome.MOOT, null);
+        Attempt attempt = new Attempt(this, entry, host, now);
+        entry.attempts.add(attempt);
+        entry.attemptsInFlight++;
+        RequestBodyStream bodyStream = StreamedRequest.restOf(entry.message);
+        // A body that a host has begun to receive can't be sent to another one.
+        boolean bodyPartlySent = bodyStream != null && !bodyStream.isUnclaimed();
+        if (bodyPartlySent || sendingStopped || entry.isClosed() || now >= entry.request.deadlineMs()
+                || attempt.number >= config.settings().limits().maxAttempts() || violatesRule(attempt, now)) {
+            attemptEnded(attempt, Outcome.MOOT, null);
             return;
         }
-        if (a.number == 0) {
-            extras.usage().admitted(r.request.customer(), r.request.units());
+        if (attempt.number == 0) {
+            extras.usageRecorder().admitted(entry.request.customer(), entry.request.units());
         }
         if (timeoutMs > 0) {
-            a.limit(loop.schedule(() -> timeUp(a), micros(timeoutMs), TimeUnit.MICROSECONDS));
+            attempt.setTimeoutTimer(loop.schedule(() -> timeOut(attempt), toMicros(timeoutMs), TimeUnit.MICROSECONDS));
         }
-        events.attempted(id, a.number, host);
-        hosts.send(a);
+        eventLog.attemptStarted(id, attempt.number, host);
+        hostClient.send(attempt);
     }
 
-    /** Whether what the module asks for is against a rule; it then does not happen, and is counted and logged. */
-    private boolean breaksRule(Attempt a, double now) {
-        if (a.number == 0) {
+    /** Whether a repeated attempt would violate a rule; such an attempt is not sent, but counted and logged. */
+    private boolean violatesRule(Attempt attempt, double now) {
+        if (attempt.number == 0) {
             return false;
         }
-        List<AttemptGuard.Earlier> before = new ArrayList<>();
-        for (Attempt earlier : a.owner.attempts) {
-            if (earlier != a) {
-                before.add(new AttemptGuard.Earlier(earlier.outcome, earlier.sentAt, states.host(earlier.host)));
+        List<AttemptGuard.Earlier> earlierAttempts = new ArrayList<>();
+        for (Attempt earlier : attempt.owner.attempts) {
+            if (earlier != attempt) {
+                earlierAttempts.add(new AttemptGuard.Earlier(earlier.outcome, earlier.sentAtMs, hostStates.host(earlier.host)));
             }
         }
-        RequestClass requestClass = requestClass(a.owner.request);
-        Rule broken = AttemptGuard.brokenByRepeat(now, requestClass, config.settings().limits(), before, states.host(a.host));
+        RequestClass requestClass = requestClass(attempt.owner.request);
+        Rule broken = AttemptGuard.brokenByRepeat(now, requestClass, config.settings().limits(), earlierAttempts,
+                hostStates.host(attempt.host));
         if (broken == null) {
             return false;
         }
         rules.broken(broken);
-        log("defect: prevented " + broken + " of request " + a.owner.request.id());
+        log("defect: prevented " + broken + " of request " + attempt.owner.request.id());
         return true;
     }
 
@@ -749,62 +778,66 @@
     }
 
     /**
-     * Whether an attempt whose connection has come up may still be written: a late loop, or a connection that came up late, may
-     * have passed its client's time or its host's drain. To be called right before.
+     * Whether an attempt whose connection has been established may still be written. A late event loop or a slow connect may
+     * have passed the deadline of the request or the drain time of the host, so this must be called right before writing.
      */
-    boolean mayLeave(Attempt a) {
+    boolean maySend(Attempt attempt) {
         double now = clock.now();
         double grace = config.settings().rules().drainGraceMs();
-        boolean drained = grace > 0 && AttemptGuard.isDrained(now, states.state(a.host), states.sinceMs(a.host), grace);
-        return !drained && now < a.owner.request.deadlineMs() && (!a.owner.closed() || a.owner.stream == a);
+        boolean drained = grace > 0
+                && AttemptGuard.isDrained(now, hostStates.state(attempt.host), hostStates.sinceMs(attempt.host), grace);
+        return !drained && now < attempt.owner.request.deadlineMs()
+                && (!attempt.owner.isClosed() || attempt.owner.streamingAttempt == attempt);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
-        OpenRequest r = open.get(id);
-        if (r == null || attempt < 0 || attempt >= r.attempts.size() || r.attempts.get(attempt).ended) {
+    public void cancel(String id, int number) {
+        OpenRequest entry = openRequests.get(id);
+        if (entry == null || number < 0 || number >= entry.attempts.size() || entry.attempts.get(number).ended) {
             return;
         }
-        Attempt a = r.attempts.get(attempt);
-        giveUp(a, Outcome.CANCELLED);
+        Attempt attempt = entry.attempts.get(number);
+        abandonAttempt(attempt, Outcome.CANCELLED);
     }
 
     @Override
     public void refuse(String id, double retryAfterMs) {
-        events.refused(id, EventLog.Refusal.DECIDED);
-        answer(open.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
+        eventLog.refused(id, EventLog.Refusal.DECIDED);
+        answer(openRequests.get(id), HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs);
     }
 
     @Override
     public void fail(String id) {
-        events.failed(id);
-        answer(open.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
+        eventLog.failed(id);
+        answer(openRequests.get(id), HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
-    private void answer(OpenRequest r, HttpResponseStatus status, double retryAfterMs) {
-        ClientConnection client = r == null ? null : close(r);
+    /** Sends a final answer without a body to the client if it still waits for one. */
+    private void answer(OpenRequest entry, HttpResponseStatus status, double retryAfterMs) {
+        ClientConnection client = entry == null ? null : closeRequest(entry);
         if (client != null) {
             boolean refused = status == HttpResponseStatus.TOO_MANY_REQUESTS;
-            figures.ended(r.request.requestClass(), refused ? ServiceMetrics.End.DEFERRED : ServiceMetrics.End.ERRORED);
-            client.answer(status, retryAfterMs);
+            figures.ended(entry.request.requestClass(), refused ? ServiceMetrics.End.DEFERRED : ServiceMetrics.End.ERRORED);
+            client.sendStatus(status, retryAfterMs);
         }
-        if (r != null) {
-            forgetIfOver(r);
+        if (entry != null) {
+            removeIfFinished(entry);
         }
     }
 
     @Override
     public void startTimer(double delayMs, String token) {
-        loop.schedule(() -> tell((now, m) -> m.onTimer(now, token)), micros(delayMs), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> deliver((now, events) -> events.onTimer(now, token)), toMicros(delayMs), TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void probe(String host) {
-        hosts.probe(host, (outcome, took, report) -> tell((now, m) -> m.onProbeResult(now, host, outcome, took, report)));
+        hostClient.probe(host, (outcome, tookMs, report) ->
+                deliver((now, events) -> events.onProbeResult(now, host, outcome, tookMs, report)));
     }
 
-    /** This gateway as others that add to it see it. */
-    ServingGateway inside() {
+    /** Returns the view of this gateway that its extensions use; its methods may be called from any thread. */
+    ServingGateway servingGateway() {
         return new ServingGateway() {
             @Override
             public boolean mayProbe() {
@@ -817,70 +850,71 @@
             }
 
             @Override
-            public void probe(String host, ProbeEnd end) {
-                loop.execute(() -> hosts.probe(host, (outcome, took, report) -> end.ended(outcome, took)));
+            public void probe(String host, ProbeCallback callback) {
+                loop.execute(() -> hostClient.probe(host, (outcome, tookMs, report) -> callback.onResult(outcome, tookMs)));
             }
 
             @Override
             public void evidence(String host, Outcome outcome, double tookMs, double ageMs) {
-                loop.execute(() -> tell((now, m) -> m.onProbeResult(now - ageMs, host, outcome, tookMs, new double[0])));
+                loop.execute(() -> deliver((now, events) -> events.onProbeResult(now - ageMs, host, outcome, tookMs, new double[0])));
             }
         };
     }
 
-    /** An attempt is about to be written to its host. */
-    void leaves(Attempt a) {
-        a.left = true;
+    /** Records that an attempt is about to be written to its host, and counts each rule that this violates. */
+    void leaves(Attempt attempt) {
+        attempt.writeStarted = true;
         double now = clock.now();
-        departures.sent(now - a.owner.leftAt);
-        if (now - a.owner.leftAt > ClientDepartureCounters.SOON_MS) {
+        departures.recordSend(now - attempt.owner.disconnectedAtMs);
+        if (now - attempt.owner.disconnectedAtMs > ClientDepartureCounters.SEND_GRACE_MS) {
             rules.broken(Rule.SENT_FOR_LEFT_CLIENT);
         }
         double grace = config.settings().rules().drainGraceMs();
-        if (grace > 0 && AttemptGuard.isDrained(now, states.state(a.host), states.sinceMs(a.host), grace)) {
+        if (grace > 0 && AttemptGuard.isDrained(now, hostStates.state(attempt.host), hostStates.sinceMs(attempt.host), grace)) {
             rules.broken(Rule.SENT_TO_DRAINING);
         }
-        if (now > a.owner.request.deadlineMs()) {
+        if (now > attempt.owner.request.deadlineMs()) {
             rules.broken(Rule.SENT_AFTER_DEADLINE);
         }
-        if (a.owner.closed()) {
+        if (attempt.owner.isClosed()) {
             rules.broken(Rule.SENT_AFTER_ANSWER);
         }
     }
 
     SharedListFetch lists() {
-        return extras.lists();
+        return extras.sharedListFetch();
     }
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        mail.send(peer, data);
+        peerSender.send(peer, data);
     }
 
-    /** There is no counter on these sockets, so a call can't get through. */
+    /** A node has no shared counter service, so every call fails as unreachable. */
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
-        tell((now, m) -> m.onCounterResult(now, counter, Outcome.CONNECT_FAILED, 0));
+        deliver((now, events) -> events.onCounterResult(now, counter, Outcome.CONNECT_FAILED, 0));
     }
 
-    /** Discovery is always watched. */
+    /** Does nothing, because discovery is always watched. */
     @Override
     public void watchHosts() { }
 
-    // ---- the end
+    // ---- shutdown
 
     /**
-     * Answers all that was taken and ends. A gateway among others stays until its time is up, though its last client
-     * has gone: it keeps the books of customers whom the others serve, and whoever starts it anew waits that long.
+     * Answers the open requests and halts the process. A gateway with peers stays until its exit time even when its last
+     * client has disconnected: it holds the quota ledgers of customers that the other gateways serve, and the platform waits
+     * that long before it starts a replacement.
      */
     private void drainAndHalt() {
-        long exit = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) end.exitsMs());
+        long exitNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) shutdownSchedule.exitsMs());
         loop.execute(this::drain);
         try {
-            awaitDrained((long) end.exitsMs());
-            if (isMissed() && !replaced && !unserved) {
-                log("drained: keeps books for the other gateways until its time is up");
-                TimeUnit.NANOSECONDS.sleep(exit - System.nanoTime());
+            awaitDrained((long) shutdownSchedule.exitsMs());
+            if (isMissed() && !replaced && !endedBeforeServing) {
+                log("drained: keeps books (quota ledgers) for the other gateways until the scheduled exit time");
+                TimeUnit.NANOSECONDS.sleep(exitNanos - System.nanoTime());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -889,109 +923,111 @@
     }
 
     /**
-     * Accepts on for a while, since clients still come; answers all; then lets the process end. A gateway among others
-     * serves on over the connections that clients have, for as long as what they ask can still be answered: its place
-     * is empty only from then on, and nobody starts it anew any sooner. Who has not served yet ends at once.
+     * Starts the shutdown: new connections are accepted for a while, as clients still arrive, every request is answered, then
+     * the process may end. A gateway with peers goes on serving open connections for as long as their requests can still be
+     * answered: no replacement is started any sooner, so an earlier end would only reduce capacity. A process that has not
+     * served yet ends at once.
      */
     void drain() {
         if (clients.listener() == null && !replaced) {
             draining = true;
-            unserved = true;
+            endedBeforeServing = true;
             drained.countDown();
             return;
         }
-        drainAfter(isMissed() && !sendsAway() ? end.staysMs() : 0);
+        drainAfter(isMissed() && !releasesClients() ? shutdownSchedule.staysMs() : 0);
     }
 
-    /** @param stay for how long clients may go on asking over what they have open, in milliseconds */
-    void drainAfter(double stay) {
-        events.state("draining, clients stay for " + (long) stay + " ms");
+    /** @param stayMs for how long clients may send further requests on open connections */
+    void drainAfter(double stayMs) {
+        eventLog.state("draining, clients stay for " + (long) stayMs + " ms");
         draining = true;
-        operators.ready(false);
-        if (stay <= 0) {
+        adminCommands.setReady(false);
+        if (stayMs <= 0) {
             leave();
         } else {
-            loop.schedule(this::leave, micros(stay), TimeUnit.MICROSECONDS);
+            loop.schedule(this::leave, toMicros(stayMs), TimeUnit.MICROSECONDS);
         }
-        loop.schedule(clients::stopAccepting, micros(end.acceptsMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(clients::stopAccepting, toMicros(shutdownSchedule.acceptsMs()), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
             clients.giveUpIdle();
             awaitEmpty();
-        }, micros(Math.max(end.acceptsMs() + POLL_MS, stay)), TimeUnit.MICROSECONDS);
-        loop.schedule(this::endAll, micros(end.endsMs()), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> tell((now, m) -> m.onShutdown(now)), micros(end.saysMs()), TimeUnit.MICROSECONDS);
+        }, toMicros(Math.max(shutdownSchedule.acceptsMs() + DRAIN_POLL_MS, stayMs)), TimeUnit.MICROSECONDS);
+        loop.schedule(this::endAll, toMicros(shutdownSchedule.endsMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> deliver((now, events) -> events.onShutdown(now)), toMicros(shutdownSchedule.saysMs()), TimeUnit.MICROSECONDS);
     }
 
-    /** From here on each answer is its connection's last. */
+    /** From here on every answer closes its connection. */
     void leave() {
-        events.state("leaving");
-        leaving = true;
-        awayAt = Math.min(awayAt, clock.now());
+        eventLog.state("leaving");
+        releasingClients = true;
+        releasingSinceMs = Math.min(releasingSinceMs, clock.now());
     }
 
-    /** Gives up every attempt; what follows from that is answered as ever. */
+    /** Ends every attempt and answers every open request; later requests are refused. */
     void endAll() {
-        events.state("over");
-        over = true;
-        for (OpenRequest r : List.copyOf(open.values())) {
-            endAttempts(r); // the module refuses or fails it, as its further attempts are void now
-        }
-        for (OpenRequest r : List.copyOf(open.values())) {
-            if (!r.closed()) {
-                answerUnserved(r);
+        eventLog.state("over");
+        sendingStopped = true;
+        for (OpenRequest entry : List.copyOf(openRequests.values())) {
+            timeOutAttempts(entry); // the engine refuses or fails the request, because its further attempts end at once
+        }
+        for (OpenRequest entry : List.copyOf(openRequests.values())) {
+            if (!entry.isClosed()) {
+                answerHeldRequest(entry);
             }
         }
     }
 
-    /** The final answer to a request that is held and gets no further attempt. */
-    private void answerUnserved(OpenRequest r) {
-        if (r.attempts.isEmpty()) { // never sent: another gateway may have it
-            events.refused(r.request.id(), EventLog.Refusal.NEVER_SENT);
-            answer(r, HttpResponseStatus.TOO_MANY_REQUESTS, config.settings().limits().maxRetryAfterMs());
-        } else { // held for another attempt after one that may have run
-            answer(r, HttpResponseStatus.BAD_GATEWAY, 0);
+    /** Sends the final answer to a request that is held without an attempt in flight and gets no further one. */
+    private void answerHeldRequest(OpenRequest entry) {
+        if (entry.attempts.isEmpty()) { // never sent, so another gateway may run it safely
+            eventLog.refused(entry.request.id(), EventLog.Refusal.NEVER_SENT);
+            answer(entry, HttpResponseStatus.TOO_MANY_REQUESTS, config.settings().limits().maxRetryAfterMs());
+        } else { // an earlier attempt may have run
+            answer(entry, HttpResponseStatus.BAD_GATEWAY, 0);
         }
     }
 
     private void awaitEmpty() {
-        if (open.isEmpty() && clients.idle()) {
+        if (openRequests.isEmpty() && clients.hasNoConnections()) {
             drained.countDown();
         } else {
-            clients.giveUpIdle(); // also those that had just connected, or were asked something meanwhile
-            loop.schedule(this::awaitEmpty, POLL_MS, TimeUnit.MILLISECONDS);
+            clients.giveUpIdle(); // also closes connections that were new, or had received a request, at the last check
+            loop.schedule(this::awaitEmpty, DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
+    /** Waits until every request is answered and every connection closed; returns false when the time passes first. */
     boolean awaitDrained(long ms) throws InterruptedException {
         return drained.await(ms, TimeUnit.MILLISECONDS);
     }
 
-    /** The port of the listener, where the configuration left it to the system. */
+    /** Returns the port of the listener, for configurations that let the system choose it. */
     int port() {
         return ((InetSocketAddress) clients.listener().localAddress()).getPort();
     }
 
-    /** How many connections of clients are open; on the event loop. */
+    /** Returns the number of open client connections. */
     int connections() {
-        return clients.count();
+        return clients.connectionCount();
     }
 
-    /** How many requests wait for their answer; on the event loop. */
+    /** Returns the number of requests in the table of open requests. */
     int openRequests() {
-        return open.size();
+        return openRequests.size();
     }
 
-    /** Whether a client's connection has output that could not leave; on the event loop. */
+    /** Whether a client connection has output that could not be written to its socket. */
     boolean hasUnsent() {
-        return clients.hasUnsent();
+        return clients.hasUnsentOutput();
     }
 
-    /** Where operators call, where the configuration left the port to the system. */
+    /** Returns the address of the console, for configurations that let the system choose the port. */
     InetSocketAddress console() {
         return console.address();
     }
 
-    /** Ends everything at once and answers nothing. */
+    /** Ends everything at once without answering open requests. */
     void stop() {
         if (console != null) {
             console.close();
--- a/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
+++ b/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
@@ -19,18 +19,35 @@
 import marlford.gateway.wire.SettingsReader;
 import marlford.gateway.wire.WireFault;
 
-/** What this api gateway was told at its start; anything missing or malformed is a {@link BadConfig}. */
-record NodeConfig(String name, InetSocketAddress console, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress peerListen,
-        List<InetSocketAddress> peers, InetSocketAddress peersAll, int sockets, JsonNode known, Settings settings,
-        double connectTimeoutMs, double idleMs, int maxOpen) {
-    private static final int PORT_MAX = 65_535;
-    private static final int HEX = 16;
-    private static final int DEFAULT_SOCKETS = 1024;
-    private static final double DEFAULT_CONNECT_MS = 250;
-    private static final double DEFAULT_IDLE_MS = 15_000;
-    private static final double DEFAULT_MAX_OPEN = 20_000;
+/**
+ * The configuration of an api gateway as read from its file. Missing or malformed content is reported as
+ * {@link BadConfig}.
+ *
+ * @param name of the gateway
+ * @param console address for operators; null for none
+ * @param listen address for clients
+ * @param discovery address of the discovery agent
+ * @param peerListen address for messages of the other gateways; null when peers exchange no messages
+ * @param peers addresses of all gateways of the tier, by their number
+ * @param peersAll address that reaches all peers at once; null for none
+ * @param sockets number of file descriptors that the process may hold
+ * @param known host list with which the gateway starts; may be a missing node
+ * @param settings of the decision engine
+ * @param connectTimeoutMs limit for connecting to a host
+ * @param idleMs time after which an idle host connection is closed
+ * @param maxOpenRequests number of requests that may be open at a time
+ */
+record NodeConfig(String name, InetSocketAddress console, InetSocketAddress listen, InetSocketAddress discovery,
+        InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll, int sockets,
+        JsonNode known, Settings settings, double connectTimeoutMs, double idleMs, int maxOpenRequests) {
+    private static final int MAX_PORT = 65_535;
+    private static final int HEX_RADIX = 16;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    private static final double DEFAULT_HOST_IDLE_MS = 15_000;
+    private static final double DEFAULT_MAX_OPEN_REQUESTS = 20_000;
 
-    /** One plain line on what is wrong with the configuration. */
+    /** The configuration is unusable; the message is a single line that says why. */
     static final class BadConfig extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -39,10 +56,10 @@
         }
     }
 
-    /** The text of a configuration file. */
+    /** Reads the content of a configuration file. */
     static byte[] bytes(String file) throws BadConfig {
         if (file == null || file.isEmpty()) {
-            throw new BadConfig("NODE_CONFIG names no file");
+            throw new BadConfig("environment variable NODE_CONFIG is empty or not set; it must name the configuration file");
         }
         try {
             return Files.readAllBytes(Path.of(file));
@@ -51,8 +68,8 @@
         }
     }
 
-    /** What the text of that file says. */
-    static NodeConfig read(String file, byte[] text) throws BadConfig {
+    /** Parses the content of a configuration file; the file name is used in error messages only. */
+    static NodeConfig parse(String file, byte[] text) throws BadConfig {
         try {
             return of(JsonTree.read(new ByteArrayInputStream(text)));
         } catch (IOException e) {
@@ -66,46 +83,53 @@
         return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     }
 
+    /**
+     * Reads the configuration from a JSON tree.
+     *
+     * @throws IllegalArgumentException if a value is missing, malformed or out of range
+     * @throws WireFault if a setting of the decision engine is missing or malformed
+     */
     static NodeConfig of(JsonNode root) {
         if (!root.isObject()) {
-            throw new IllegalArgumentException("not a JSON object");
+            throw new IllegalArgumentException("expected a JSON object at the top level, found another value or nothing");
         }
         Map<String, String> pairs = new TreeMap<>();
         flatten("", root.path("settings"), pairs);
-        pairs.put("rng_seed", Long.toString(Long.parseUnsignedLong(text(root, "seed"), HEX)));
+        pairs.put("rng_seed", Long.toString(Long.parseUnsignedLong(text(root, "seed"), HEX_RADIX)));
         Fields fields = new Fields(pairs);
-        Settings settings = SettingsValidator.checked(SettingsReader.read(fields));
+        Settings settings = SettingsValidator.validate(SettingsReader.read(fields));
         List<InetSocketAddress> peers = new ArrayList<>();
         for (JsonNode peer : root.path("peers")) {
             peers.add(address(peer.asText()));
         }
-        boolean mail = settings.limits().peers() && root.hasNonNull("peer_listen");
+        boolean peerMessages = settings.limits().peers() && root.hasNonNull("peer_listen");
         String console = root.hasNonNull("console") ? text(root, "console") : System.getenv("NODE_CONSOLE");
         return new NodeConfig(root.path("name").asText(), console == null || console.isEmpty() ? null : address(console),
                 address(text(root, "listen")), address(text(root, "discovery")),
-                mail ? address(text(root, "peer_listen")) : null, List.copyOf(peers),
+                peerMessages ? address(text(root, "peer_listen")) : null, List.copyOf(peers),
                 root.hasNonNull("peers_all") ? address(text(root, "peers_all")) : null,
-                (int) positive("limits.sockets", root.path("limits").path("sockets").asInt(DEFAULT_SOCKETS)),
+                (int) positive("limits.sockets", root.path("limits").path("sockets").asInt(DEFAULT_DESCRIPTORS)),
                 root.path("known"), settings,
-                positive("limits.connect_timeout_ms", fields.number("limits.connect_timeout_ms", DEFAULT_CONNECT_MS)),
-                positive("limits.conn_idle_ms", fields.number("limits.conn_idle_ms", DEFAULT_IDLE_MS)),
-                (int) positive("limits.max_open", fields.number("limits.max_open", DEFAULT_MAX_OPEN)));
+                positive("limits.connect_timeout_ms", fields.number("limits.connect_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS)),
+                positive("limits.conn_idle_ms", fields.number("limits.conn_idle_ms", DEFAULT_HOST_IDLE_MS)),
+                (int) positive("limits.max_open", fields.number("limits.max_open", DEFAULT_MAX_OPEN_REQUESTS)));
     }
 
+    /** Returns the value if it is above 0; otherwise it is reported under the name of the setting. */
     private static double positive(String name, double value) {
-        SettingsValidator.hold(value > 0, name, value, "above 0");
+        SettingsValidator.require(value > 0, name, value, "above 0");
         return value;
     }
 
-    /** Nested settings under the names that the simulator's wire gives them. */
+    /** Flattens nested settings to the dotted names that the protocol of the simulator uses. */
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
-        String below = path.isEmpty() ? "" : path + ".";
+        String prefix = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
-            node.fields().forEachRemaining(e -> flatten(below + e.getKey(), e.getValue(), pairs));
+            node.fields().forEachRemaining(e -> flatten(prefix + e.getKey(), e.getValue(), pairs));
         } else if (node.isArray() && node.size() > 0 && node.get(0).isObject()) {
-            pairs.put(below + "count", Integer.toString(node.size()));
+            pairs.put(prefix + "count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
-                flatten(below + i, node.get(i), pairs);
+                flatten(prefix + i, node.get(i), pairs);
             }
         } else if (node.isArray()) {
             StringJoiner list = new StringJoiner(",");
@@ -116,29 +140,30 @@
         }
     }
 
+    /** Returns the value of a required, non-empty string. */
     private static String text(JsonNode root, String name) {
         JsonNode value = root.path(name);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new IllegalArgumentException("missing or malformed '" + name + "'");
+            throw new IllegalArgumentException("expected a string that is not empty in '" + name + "', found another value or nothing");
         }
         return value.asText();
     }
 
-    /** Numbers and a port: there are no names to look up. */
+    /** Parses a numeric IP address with a port; host names are not resolved. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (ip == null) {
-            throw new IllegalArgumentException("bad address '" + text + "'");
+            throw new IllegalArgumentException("expected a numeric IP address and a port, found '" + text + "'");
         }
         int port = Integer.parseInt(text.substring(colon + 1));
-        if (port < 0 || port > PORT_MAX) {
-            throw new IllegalArgumentException("bad port in '" + text + "'");
+        if (port < 0 || port > MAX_PORT) {
+            throw new IllegalArgumentException("expected a port from 0 to 65535, found '" + text + "'");
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(ip), port);
         } catch (UnknownHostException e) {
-            throw new IllegalArgumentException("bad address '" + text + "'", e);
+            throw new IllegalArgumentException("expected a numeric IP address and a port, found '" + text + "'", e);
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/OpenRequest.java
+++ b/gateway/src/main/java/marlford/gateway/net/OpenRequest.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import marlford.gateway.EngineApi.Request;
 
-/** A request in the table: its client, until answered or gone, and its attempts. */
+/** An entry in the table of open requests, with its attempts and the client that waits for the answer. */
 final class OpenRequest {
     final Request request;
-    final FullHttpRequest message; // held until the entry leaves the table
+    final FullHttpRequest message; // owned by this entry until it is removed from the table
     final List<Attempt> attempts = new ArrayList<>(2);
     private ClientConnection client;
     private boolean closed;
-    Attempt stream; // whose answer goes to the client as it comes
-    double leftAt = Double.POSITIVE_INFINITY; // when its client was seen to leave without an answer
-    int out; // attempts that have not ended
-    Future<?> guard;
+    Attempt streamingAttempt; // whose answer is streamed to the client; null when there is none
+    double disconnectedAtMs = Double.POSITIVE_INFINITY; // when the client was seen to disconnect without an answer
+    int attemptsInFlight;
+    Future<?> deadlineTimer;
 
     OpenRequest(Request request, FullHttpRequest message, ClientConnection client) {
         this.request = request;
@@ -24,20 +24,20 @@
         this.client = client;
     }
 
-    boolean closed() {
+    boolean isClosed() {
         return closed;
     }
 
-    /** The client that is still owed an answer; null where none is. */
+    /** Returns the client that waits for the answer; null when the request is answered or its client has disconnected. */
     ClientConnection client() {
         return client;
     }
 
-    /** The client to answer, for the one caller that ends the request; null for all later ones (rule 1). */
+    /** Closes the request. Returns the client only to the first caller, which must answer it, and null afterwards (rule 1). */
     ClientConnection close() {
-        ClientConnection owed = client;
+        ClientConnection waitingClient = client;
         closed = true;
         client = null;
-        return owed;
+        return waitingClient;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/RequestBodyStream.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestBodyStream.java
@@ -4,94 +4,96 @@
 import java.util.ArrayDeque;
 
 /**
- * What follows the kept part of a request's long body: taken from the client no faster than a host takes it, handed on
- * once, and dropped where no host wants it. Its last part is held back until the client was seen to be still connected: the
- * end of a client that has left stands behind its body, and a host begins a request once that has come whole. On the event
- * loop of both.
+ * The rest of a long request body, of which only the first part is buffered. It is read from the client no faster than a
+ * host receives it, forwarded once, and discarded when no host needs it. The last part is held back until the client was
+ * seen to be still connected: the end of a client's connection follows the body, and a host starts to process a request
+ * once it is complete. Runs on the event loop that client and host connections share.
  *
- * <p>Buffers: a part that is added is owned here until it is handed on or dropped. Bound: {@value #AHEAD_MAX} bytes and
- * one reading of the socket wait here; then {@link #full} asks for a pause.
+ * <p>Ownership: an added part belongs to this object until it is forwarded or discarded. At most
+ * {@value #MAX_BUFFERED_BYTES} bytes and the result of one socket read are buffered; {@link #isFull} then requests a pause.
  */
 final class RequestBodyStream {
-    private static final int AHEAD_MAX = 64 * 1024; // bytes read and not yet handed on
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024; // received and not yet forwarded
 
-    /** A host's connection that takes the body. */
+    /** A host connection that receives the body. */
     interface Taker {
-        /** Whether it takes another part now. */
+        /** Whether another part can be written now. */
         boolean ready();
 
-        /** Takes the part over. */
+        /** Writes a part and takes ownership of it. */
         void part(ByteBuf part);
 
-        /** That was all. */
+        /** Called after the last part. */
         void last();
     }
 
     private final long length;
-    private final Runnable steer;
+    private final Runnable onChange;
     private final ArrayDeque<ByteBuf> parts = new ArrayDeque<>();
-    private long ahead;
-    private ByteBuf lastPart; // read, and held back until confirmed; else null
-    private boolean whole; // its last byte came from the client
-    private boolean confirmed; // the client was still connected after that
-    private boolean begun; // a part was handed on
-    private boolean dropped; // nobody wants it any more
-    private Taker taker;
+    private long bufferedBytes;
+    private ByteBuf lastPart; // received, but held back until confirmed; null otherwise
+    private boolean complete; // the last byte has been received from the client
+    private boolean confirmed; // the client was still connected after the last byte
+    private boolean forwardingStarted; // at least one part was given to a host
+    private boolean dropped; // no host needs the body any more
+    private Taker receiver;
 
     /**
-     * @param length of the whole body in bytes, also what is kept of it; below 0 where the client does not say
-     * @param steer runs where {@link #full} or {@link #over} may have changed
+     * @param length of the whole body in bytes, including the buffered part; negative when the client does not declare it
+     * @param onChange called when {@link #isFull} or {@link #isComplete} may have changed
      */
-    RequestBodyStream(long length, Runnable steer) {
+    RequestBodyStream(long length, Runnable onChange) {
         this.length = length;
-        this.steer = steer;
+        this.onChange = onChange;
     }
 
+    /** Returns the length of the whole body in bytes; negative when it is unknown. */
     long length() {
         return length;
     }
 
-    /** Whether the client is to pause. */
-    boolean full() {
-        return ahead > AHEAD_MAX;
+    /** Whether reading from the client has to pause. */
+    boolean isFull() {
+        return bufferedBytes > MAX_BUFFERED_BYTES;
     }
 
-    /** Whether nothing more of it will come from the client. */
-    boolean over() {
-        return whole;
+    /** Whether the client has sent the whole body. */
+    boolean isComplete() {
+        return complete;
     }
 
-    /** Whether another host could still have all of it. */
-    boolean untouched() {
-        return !begun && !dropped && taker == null;
+    /** Whether a host can still receive the whole body. */
+    boolean isUnclaimed() {
+        return !forwardingStarted && !dropped && receiver == null;
     }
 
+    /** Takes ownership of a part that is not the last one. */
     void add(ByteBuf part) {
         if (dropped) {
             part.release();
             return;
         }
         parts.add(part);
-        ahead += part.readableBytes();
+        bufferedBytes += part.readableBytes();
         flow();
-        if (full()) {
-            steer.run();
+        if (isFull()) {
+            onChange.run();
         }
     }
 
-    /** Takes over the last part, and holds it back until {@link #confirm}. */
+    /** Takes ownership of the last part and holds it back until {@link #confirm}. */
     void end(ByteBuf part) {
-        whole = true;
+        complete = true;
         if (dropped) {
             part.release();
         } else {
             lastPart = part;
-            ahead += part.readableBytes();
+            bufferedBytes += part.readableBytes();
         }
-        steer.run();
+        onChange.run();
     }
 
-    /** The client is still connected, and nothing of the body is missing: all of it may go to a host. */
+    /** Releases the last part, because the client is still connected after sending the complete body. */
     void confirm() {
         if (dropped || confirmed) {
             return;
@@ -100,56 +102,56 @@
         parts.add(lastPart);
         lastPart = null;
         flow();
-        steer.run();
+        onChange.run();
     }
 
-    /** From here on parts go to this host. */
+    /** Starts to forward the body to a host. */
     void to(Taker host) {
-        taker = host;
+        receiver = host;
         flow();
     }
 
-    /** This host takes no more; where it had some already, no other can have the whole. */
+    /** Stops forwarding to a host. If it has received a part, no other host can receive the whole body, and the rest is dropped. */
     void leave(Taker host) {
-        if (taker == host) {
-            taker = null;
-            if (begun) {
+        if (receiver == host) {
+            receiver = null;
+            if (forwardingStarted) {
                 drop();
             }
         }
     }
 
-    /** Hands on as much as is there and wanted. */
+    /** Forwards as many parts as the host can take now. */
     void flow() {
-        boolean wasFull = full();
-        while (taker != null && !parts.isEmpty() && taker.ready()) {
+        boolean wasFull = isFull();
+        while (receiver != null && !parts.isEmpty() && receiver.ready()) {
             ByteBuf part = parts.poll();
-            ahead -= part.readableBytes();
-            begun = true;
-            taker.part(part);
+            bufferedBytes -= part.readableBytes();
+            forwardingStarted = true;
+            receiver.part(part);
         }
-        if (taker != null && confirmed && parts.isEmpty()) {
-            Taker last = taker;
-            taker = null;
-            begun = true;
-            last.last();
+        if (receiver != null && confirmed && parts.isEmpty()) {
+            Taker completed = receiver;
+            receiver = null;
+            forwardingStarted = true;
+            completed.last();
         }
-        if (wasFull && !full()) {
-            steer.run();
+        if (wasFull && !isFull()) {
+            onChange.run();
         }
     }
 
-    /** Whatever else comes is read and forgotten. */
+    /** Discards the buffered parts and all that follow. */
     void drop() {
         dropped = true;
-        taker = null;
+        receiver = null;
         parts.forEach(ByteBuf::release);
         parts.clear();
         if (lastPart != null) {
             lastPart.release();
             lastPart = null;
         }
-        ahead = 0;
-        steer.run();
+        bufferedBytes = 0;
+        onChange.run();
     }
 }
