--- a/gateway/src/main/java/marlford/gateway/net/RequestParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestParser.java
@@ -15,8 +15,8 @@
 import marlford.gateway.EngineApi.Settings;
 
 /**
- * What a request says of itself, held against the settings. All of it comes from a stranger, and the module reckons
- * with it: units, sets and times that cannot be would spoil the books of a customer who never sent them.
+ * Parses a request and validates it against the settings. All of it is untrusted input that the decision engine calculates
+ * with: impossible units, sets of gateways or times would corrupt the quota ledger of a customer that never sent them.
  */
 final class RequestParser {
     static final AsciiString ID = AsciiString.cached("X-Trace-Id");
@@ -24,18 +24,18 @@
     static final AsciiString CUSTOMER = AsciiString.cached("X-Customer");
     static final AsciiString EXPIRES = AsciiString.cached("X-Expires-In-Ms");
     static final AsciiString QUOTA = AsciiString.cached("X-Quota");
-    static final AsciiString RETRY = AsciiString.cached("X-Second-Try");
+    static final AsciiString SECOND_TRY = AsciiString.cached("X-Second-Try");
     static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
-    /** Of these a request says one thing or nothing. */
-    static final List<AsciiString> SINGLE = List.of(HttpHeaderNames.HOST, ID, PLAN, CUSTOMER, EXPIRES, QUOTA, RETRY,
+    /** Headers that may appear at most once in a request. */
+    static final List<AsciiString> SINGLE = List.of(HttpHeaderNames.HOST, ID, PLAN, CUSTOMER, EXPIRES, QUOTA, SECOND_TRY,
             KEY);
 
-    private static final double MARGIN_MS = 20; // the answer must reach the client within its time
-    private static final int HEX = 16;
+    private static final double DELIVERY_MARGIN_MS = 20; // the answer must reach the client within its time limit
+    private static final int HEX_RADIX = 16;
     private static final int CUSTOMER_DIGITS = 16;
-    private static final long CUSTOMER_END = 1L << 33;
-    private static final int TEXT_MAX = 64; // characters of an id or a key
-    private static final int DIGITS_MAX = 9; // of a plain number: it fits an int
+    private static final long CUSTOMER_LIMIT = 1L << 33; // exclusive
+    private static final int MAX_TOKEN_LENGTH = 64; // of a request id or an idempotency key
+    private static final int MAX_NUMBER_LENGTH = 9; // of a plain number, so that it fits an int
     private static final double ABSENT = -1;
 
     private final Settings settings;
@@ -49,52 +49,55 @@
     }
 
     /**
-     * The request as the module knows it, or null where it is missing or has malformed what it must say. Its client
-     * has been waiting since it arrived, however late it is read.
+     * Parses a request for the decision engine. Returns null when a required part is missing or malformed. The time limit of
+     * the client counts from the arrival of the request, however late it is read.
      *
-     * @param came when it was read, from which its client's time counts
-     * @param turnMs when its turn came on its connection, from which the decision module holds it
-     * @param restMs how long the rest of its body may still take; a client's time counts from its last byte
+     * @param arrivedMs when the request arrived, from which the time limit counts
+     * @param turnMs when its turn came on its connection, from which the decision engine holds it
+     * @param restMs how long the rest of its body may still take; the time limit counts from its last byte
      */
-    Request read(FullHttpRequest message, double now, double came, double turnMs, double restMs) {
-        HttpHeaders h = message.headers();
-        RequestClass cls = classes.get(firstPart(message.uri()));
-        String plan = h.get(PLAN);
-        String id = h.get(ID);
-        long customer = customer(h.get(CUSTOMER));
-        double left = plain(h.get(EXPIRES), false);
-        if (cls == null || !plans.containsKey(plan) || !isName(id) || customer < 0 || left <= 0
-                || !fits(cls, message)) {
+    Request parse(FullHttpRequest message, double now, double arrivedMs, double turnMs, double restMs) {
+        HttpHeaders headers = message.headers();
+        RequestClass requestClass = classes.get(firstPathSegment(message.uri()));
+        String plan = headers.get(PLAN);
+        String id = headers.get(ID);
+        long customer = parseCustomer(headers.get(CUSTOMER));
+        double limitMs = parseNumber(headers.get(EXPIRES), false);
+        if (requestClass == null || !plans.containsKey(plan) || !isToken(id) || customer < 0 || limitMs <= 0
+                || !matchesClass(requestClass, message)) {
             return null;
         }
-        String quota = h.get(QUOTA);
-        double units = field(quota, "units", true);
-        double spread = field(quota, "spread", false);
-        double first = field(quota, "first", false);
+        String quota = headers.get(QUOTA);
+        double units = quotaField(quota, "units", true);
+        double spread = quotaField(quota, "spread", false);
+        double first = quotaField(quota, "first", false);
         int gateways = settings.gateways();
-        // A set that this gateway does not belong to would have it ask keepers that must not answer.
-        boolean right = units > 0 && units <= settings.sharing().maxUnits() && spread >= 1 && spread <= gateways
+        // For a set of replicas without this gateway it would query gateways that must not answer.
+        boolean valid = units > 0 && units <= settings.sharing().maxUnits() && spread >= 1 && spread <= gateways
                 && first >= 0 && first < gateways && Math.floorMod(settings.me() - (int) first, gateways) < spread;
-        double waits = Math.min(left, cls.deadlineMs()); // no client of this class waits longer
-        return !right ? null : new Request(id, Math.max(now + 1, came + restMs + waits - MARGIN_MS), turnMs,
-                h.contains(RETRY), cls.name(), customer, plan, units, (int) first, (int) spread, restMs);
+        double waitsMs = Math.min(limitMs, requestClass.deadlineMs()); // no client of this class waits longer than the deadline
+        return !valid ? null : new Request(id, Math.max(now + 1, arrivedMs + restMs + waitsMs - DELIVERY_MARGIN_MS), turnMs,
+                headers.contains(SECOND_TRY), requestClass.name(), customer, plan, units, (int) first, (int) spread, restMs);
     }
 
-    /** The method and the key of the class; what is safe to repeat has no body, and none may be sent on with it. */
-    private static boolean fits(RequestClass cls, FullHttpRequest message) {
-        if (cls.effect() == Effect.REPEATABLE) {
+    /**
+     * Whether method and idempotency key are those required by the request class. Repeatable requests have no body, as
+     * none may be forwarded with them.
+     */
+    private static boolean matchesClass(RequestClass requestClass, FullHttpRequest message) {
+        if (requestClass.effect() == Effect.REPEATABLE) {
             return message.method().equals(HttpMethod.GET) && !message.content().isReadable()
                     && !message.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
         }
         return message.method().equals(HttpMethod.POST)
-                && (cls.effect() != Effect.KEYED || isName(message.headers().get(KEY)));
+                && (requestClass.effect() != Effect.KEYED || isToken(message.headers().get(KEY)));
     }
 
-    private static boolean isName(String text) {
-        return text != null && !text.isEmpty() && text.length() <= TEXT_MAX && isWithin(text, '!', '~');
+    private static boolean isToken(String text) {
+        return text != null && !text.isEmpty() && text.length() <= MAX_TOKEN_LENGTH && isWithin(text, '!', '~');
     }
 
-    /** Whether all characters lie in a range; a plain loop, since it runs several times for each request. */
+    /** Whether all characters are in the range; a plain loop, because it runs several times for each request. */
     static boolean isWithin(String text, char from, char to) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < from || text.charAt(i) > to) {
@@ -104,23 +107,27 @@
         return true;
     }
 
-    private static long customer(String text) {
+    /** Parses a customer identifier of {@value #CUSTOMER_DIGITS} hexadecimal digits; returns -1 if it is malformed or too large. */
+    private static long parseCustomer(String text) {
         if (text == null || text.length() != CUSTOMER_DIGITS) {
             return -1;
         }
         long number = 0;
         for (int i = 0; i < CUSTOMER_DIGITS; i++) {
-            int digit = text.charAt(i) <= '~' ? Character.digit(text.charAt(i), HEX) : -1;
-            if (digit < 0 || number >= CUSTOMER_END) {
+            int digit = text.charAt(i) <= '~' ? Character.digit(text.charAt(i), HEX_RADIX) : -1;
+            if (digit < 0 || number >= CUSTOMER_LIMIT) {
                 return -1;
             }
-            number = number * HEX + digit;
+            number = number * HEX_RADIX + digit;
         }
-        return number < CUSTOMER_END ? number : -1;
+        return number < CUSTOMER_LIMIT ? number : -1;
     }
 
-    /** The value of a field that the list names once; others may stand beside it, as a later version may say more. */
-    private static double field(String list, String name, boolean fraction) {
+    /**
+     * Returns the value of a field that appears exactly once in a list such as {@code units=1,spread=2}. Unknown fields are
+     * ignored, because a later version of the protocol may add some.
+     */
+    private static double quotaField(String list, String name, boolean allowsFraction) {
         double value = ABSENT;
         for (String part : list == null ? new String[0] : list.split(",", -1)) {
             int equals = part.indexOf('=');
@@ -128,7 +135,7 @@
                 if (value != ABSENT) {
                     return ABSENT;
                 }
-                value = plain(part.substring(equals + 1).trim(), fraction);
+                value = parseNumber(part.substring(equals + 1).trim(), allowsFraction);
                 if (value < 0) {
                     return ABSENT;
                 }
@@ -137,21 +144,22 @@
         return value;
     }
 
-    /** Digits, and where allowed a point between them: no sign, exponent, blank, NaN or infinity. */
-    private static double plain(String text, boolean fraction) {
+    /** Parses digits, optionally with a decimal point between them: no sign, exponent, blank, NaN or infinity. */
+    private static double parseNumber(String text, boolean allowsFraction) {
         int point = -1;
         for (int i = 0; text != null && i < text.length(); i++) {
             char c = text.charAt(i);
-            if (c == '.' && fraction && point < 0 && i > 0 && i < text.length() - 1) {
+            if (c == '.' && allowsFraction && point < 0 && i > 0 && i < text.length() - 1) {
                 point = i;
             } else if (c < '0' || c > '9') {
                 return ABSENT;
             }
         }
-        return text == null || text.isEmpty() || text.length() > DIGITS_MAX ? ABSENT : Double.parseDouble(text);
+        return text == null || text.isEmpty() || text.length() > MAX_NUMBER_LENGTH ? ABSENT : Double.parseDouble(text);
     }
 
-    private static String firstPart(String uri) {
+    /** Returns the first segment of the path, which names the request class. */
+    private static String firstPathSegment(String uri) {
         int end = 1;
         while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
             end++;
--- a/gateway/src/main/java/marlford/gateway/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -27,46 +27,50 @@
 import marlford.gateway.guard.ClientProgress.Part;
 
 /**
- * Puts the requests of one connection together, or passes on that what comes can't be read: then nothing more is, as
- * where a further request would begin is not known. It answers nothing itself, since answers have their order.
+ * Assembles the HTTP requests of one connection. Input that can't be read is passed on as {@link UnreadableRequest}, after
+ * which nothing more is read, because the start of a further request is unknown. The reader never answers itself, because
+ * answers must keep the order of the requests. Runs on the event loop.
  */
 final class RequestReader extends ChannelInboundHandlerAdapter {
     private static final HttpHeadersFactory HEADERS = StrictHeaders.ofRequests(RequestParser.SINGLE);
     private static final double NONE = -1;
-    private static final long LONGEST = 48 << 20; // bytes of a body
+    private static final long MAX_BODY_BYTES = 48 << 20;
 
-    /** In the place of a request: the connection ends with this answer. */
-    record Unreadable(HttpResponseStatus status) { }
+    /** Passed on in place of a request; the connection is closed after an answer with this status. */
+    record UnreadableRequest(HttpResponseStatus status) { }
 
-    /** The last byte of a long body was read. */
-    record BodyRead(RequestBodyStream body) { }
+    /** User event: the last byte of a long body has been read. */
+    record BodyReceived(RequestBodyStream body) { }
 
-    /** The client sends the body only once it is told that its head was read. */
-    enum Asks { TO_GO_ON }
+    /** User events without data. */
+    enum ClientSignal {
+        /** The client waits for 100 Continue before it sends the body. */
+        EXPECTS_CONTINUE
+    }
 
     private final Clock clock;
-    private final Runnable steer;
+    private final Runnable updateReading;
     private final Decoder decoder = new Decoder();
     private HttpRequest head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
-    private RequestBodyStream rest; // of a body too long to be kept; null where it is put together here
-    private boolean asked; // the head that is here expects a word before its body
-    private boolean over;
-    private IntConsumer forgotten = bytes -> { };
-    private double since = NONE; // when an unfinished request began to come
-    private double readAt; // when something of it last came
-    private long read; // bytes of its body
-    private long taken; // bytes of the connection's whole life
-    private boolean drained = true; // all that has come was read, as far as is known
-    private double pausedAt; // since when that is not so
-    private long takenByThen; // bytes of the connection at that time
-    private double unseenMs; // for how long what was read last may have stood unread
-    private boolean reading; // what was read last is still being passed on
+    private RequestBodyStream bodyStream; // rest of a body that is too long to be buffered; null while the body is buffered here
+    private boolean expectsContinue; // the current head asked for 100 Continue, which has not been sent
+    private boolean inputEnded; // further input is discarded
+    private IntConsumer onDiscarded = bytes -> { };
+    private double requestSinceMs = NONE; // arrival of the first byte of an incomplete request
+    private double lastReadMs; // arrival of the latest input
+    private long bodyBytes; // received of the current request
+    private long receivedBytes; // received on this connection in total
+    private boolean drained = true; // as far as is known, all input that has arrived was read
+    private double pausedSinceMs; // since when the socket may hold unread input
+    private long receivedBytesAtPause;
+    private double unseenMs; // for how long the latest input may have waited unread in the socket
+    private boolean reading; // the latest input is still being passed on
 
-    /** @param steer runs where reading on may have to pause or to go on */
-    RequestReader(Clock clock, Runnable steer) {
+    /** @param updateReading called when reading may have to pause or resume */
+    RequestReader(Clock clock, Runnable updateReading) {
         this.clock = clock;
-        this.steer = steer;
+        this.updateReading = updateReading;
     }
 
     private final class Decoder extends HttpRequestDecoder {
@@ -76,16 +80,16 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-            taken += ((ByteBuf) bytes).readableBytes();
-            if (over) {
-                forgotten.accept(((ByteBuf) bytes).readableBytes());
+            receivedBytes += ((ByteBuf) bytes).readableBytes();
+            if (inputEnded) {
+                onDiscarded.accept(((ByteBuf) bytes).readableBytes());
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            readAt = clock.now();
+            lastReadMs = clock.now();
             unseenMs = drained ? 0 : unseenMs;
-            if (since == NONE) {
-                since = readAt;
+            if (requestSinceMs == NONE) {
+                requestSinceMs = lastReadMs;
             }
             reading = true;
             try {
@@ -95,6 +99,7 @@
             }
         }
 
+        /** Whether input of the next request is already buffered. */
         boolean leftOver() {
             return actualReadableBytes() > 0;
         }
@@ -104,155 +109,155 @@
         pipeline.addLast(new HttpResponseEncoder(), decoder, this);
     }
 
-    /** Bytes that were read so far, of whatever kind. */
-    long taken() {
-        return taken;
+    /** Returns the number of bytes received on this connection, including discarded ones. */
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    /** Whether this call comes from within a reading of the connection: then it must not be read again. */
-    boolean reading() {
+    /** Whether the caller was called while input is passed on; the connection must not be read again then. */
+    boolean isReading() {
         return reading;
     }
 
-    /** Whether something unfinished is coming. */
-    boolean unfinished() {
-        return since != NONE;
+    /** Whether a request has arrived in part. */
+    boolean hasIncompleteRequest() {
+        return requestSinceMs != NONE;
     }
 
-    /** What is coming, for the judgement of its progress. */
+    /** Returns the state of the input, from which the progress of the client is judged. */
     ClientProgress.Input input() {
-        Part part = since == NONE ? Part.NONE : head == null ? Part.HEAD : Part.BODY;
-        return new ClientProgress.Input(part, since, readAt, unseenMs, read, drained);
+        Part part = requestSinceMs == NONE ? Part.NONE : head == null ? Part.HEAD : Part.BODY;
+        return new ClientProgress.Input(part, requestSinceMs, lastReadMs, unseenMs, bodyBytes, drained);
     }
 
-    /** Something may stand unread from now on: what the client sends meanwhile is not known. */
+    /** Records that reading pauses: from now on the socket may hold input that is not known here. */
     void pause() {
         if (drained) {
             drained = false;
-            pausedAt = clock.now();
-            takenByThen = taken;
+            pausedSinceMs = clock.now();
+            receivedBytesAtPause = receivedBytes;
         }
     }
 
-    /** Whether the client waits for the word that its head was read, before it sends the body. */
-    boolean asksToGoOn() {
-        return asked && read == 0 && head != null;
+    /** Whether the client waits for 100 Continue before it sends the body. */
+    boolean expectsContinue() {
+        return expectsContinue && bodyBytes == 0 && head != null;
     }
 
-    /** The client is given that word: it has some time from here on, however long it waited. */
-    void toldToGoOn() {
-        asked = false;
-        double latest = clock.now() - ClientProgress.WAITED_MS;
-        since = Math.max(since, latest);
-        readAt = Math.max(readAt, latest);
+    /** Records that 100 Continue is sent. The client gets some time from here on, however long it has waited. */
+    void continueSent() {
+        expectsContinue = false;
+        double latestMs = clock.now() - ClientProgress.WAITED_MS;
+        requestSinceMs = Math.max(requestSinceMs, latestMs);
+        lastReadMs = Math.max(lastReadMs, latestMs);
     }
 
-    /** Whether all that has come was read, as far as is known. */
+    /** Whether all input that has arrived was read, as far as is known. */
     boolean isDrained() {
         return drained;
     }
 
-    /** For how long what is being read may have stood unread, as reading paused. */
+    /** Returns for how long the input being read may have waited unread because reading was paused, in milliseconds. */
     double unreadMs() {
-        return drained ? 0 : clock.now() - pausedAt;
+        return drained ? 0 : clock.now() - pausedSinceMs;
     }
 
-    /** All that has come was read. What stood unread meanwhile may have come at any time since the pause began. */
-    void drained() {
+    /** Records that all input was read. Input that waited unread may have arrived at any time since the pause began. */
+    void markDrained() {
         if (drained) {
             return;
         }
         drained = true;
-        if (taken > takenByThen) {
+        if (receivedBytes > receivedBytesAtPause) {
             double now = clock.now();
-            unseenMs = now - pausedAt;
-            since = since == NONE ? NONE : Math.min(now, since + unseenMs);
+            unseenMs = now - pausedSinceMs;
+            requestSinceMs = requestSinceMs == NONE ? NONE : Math.min(now, requestSinceMs + unseenMs);
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            Throwable fault = ((HttpObject) message).decoderResult().cause();
-            if (over) {
+            Throwable cause = ((HttpObject) message).decoderResult().cause();
+            if (inputEnded) {
                 return;
             }
-            if (fault != null) {
-                refuse(ctx, fault instanceof TooLongFrameException ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+            if (cause != null) {
+                refuse(ctx, cause instanceof TooLongFrameException ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                         : HttpResponseStatus.BAD_REQUEST);
                 return;
             }
             if (message instanceof HttpRequest) {
-                begin(ctx, (HttpRequest) message);
+                onHead(ctx, (HttpRequest) message);
             }
-            if (message instanceof HttpContent && !over) {
-                goOn(ctx, (HttpContent) message);
+            if (message instanceof HttpContent && !inputEnded) {
+                onContent(ctx, (HttpContent) message);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpRequest request) {
+    private void onHead(ChannelHandlerContext ctx, HttpRequest request) {
         head = request;
-        boolean known = request.protocolVersion().equals(HttpVersion.HTTP_1_1)
+        boolean supportedVersion = request.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 || request.protocolVersion().equals(HttpVersion.HTTP_1_0)
                 && !HttpUtil.isTransferEncodingChunked(request);
-        if (!known) {
+        if (!supportedVersion) {
             refuse(ctx, HttpResponseStatus.BAD_REQUEST);
-        } else if (HttpUtil.getContentLength(request, 0L) > LONGEST) {
-            refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE); // before any of it is read
+        } else if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
+            refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE); // before any of the body is read
         } else if (HttpUtil.is100ContinueExpected(request)) {
-            asked = true;
-            ctx.fireUserEventTriggered(Asks.TO_GO_ON);
+            expectsContinue = true;
+            ctx.fireUserEventTriggered(ClientSignal.EXPECTS_CONTINUE);
         } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
             refuse(ctx, HttpResponseStatus.EXPECTATION_FAILED);
         }
     }
 
-    private void goOn(ChannelHandlerContext ctx, HttpContent content) {
-        read += content.content().readableBytes();
-        if (read > LONGEST) {
+    private void onContent(ChannelHandlerContext ctx, HttpContent content) {
+        bodyBytes += content.content().readableBytes();
+        if (bodyBytes > MAX_BODY_BYTES) {
             refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (rest == null && read > ClientServer.MAX_BODY) {
-            rest = new RequestBodyStream(HttpUtil.getContentLength(head, -1L), steer);
-            ByteBuf kept = body;
+        if (bodyStream == null && bodyBytes > ClientServer.MAX_BODY) {
+            bodyStream = new RequestBodyStream(HttpUtil.getContentLength(head, -1L), updateReading);
+            ByteBuf bufferedBody = body;
             body = Unpooled.EMPTY_BUFFER;
-            ctx.fireChannelRead(new StreamedRequest(head, kept, rest));
+            ctx.fireChannelRead(new StreamedRequest(head, bufferedBody, bodyStream));
         }
-        if (rest != null && !over) {
+        if (bodyStream != null && !inputEnded) {
             if (!(content instanceof LastHttpContent)) {
-                rest.add(content.content().retain());
+                bodyStream.add(content.content().retain());
                 return;
             }
-            RequestBodyStream ended = rest;
-            rest = null;
-            nextFrom();
-            ended.end(content.content().retain());
-            ctx.fireUserEventTriggered(new BodyRead(ended));
+            RequestBodyStream completedBody = bodyStream;
+            bodyStream = null;
+            prepareNextRequest();
+            completedBody.end(content.content().retain());
+            ctx.fireUserEventTriggered(new BodyReceived(completedBody));
             return;
         }
         body = joined(ctx, body, content.content());
         if (content instanceof LastHttpContent) {
-            DefaultFullHttpRequest whole = new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
                     head.uri(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
             body = Unpooled.EMPTY_BUFFER;
-            nextFrom();
-            ctx.fireChannelRead(whole);
+            prepareNextRequest();
+            ctx.fireChannelRead(request);
         }
     }
 
-    /** A request has come whole: the next one begins here, and has where something stands behind the last. */
-    private void nextFrom() {
+    /** Prepares for the next request after a complete one; it has begun if the decoder already holds input of it. */
+    private void prepareNextRequest() {
         head = null;
-        asked = false;
-        read = 0;
-        since = decoder.leftOver() ? clock.now() : NONE;
+        expectsContinue = false;
+        bodyBytes = 0;
+        requestSinceMs = decoder.leftOver() ? clock.now() : NONE;
     }
 
-    /** Parts of a body one behind the other, without a copy; the first is taken over, the second retained. */
+    /** Joins two parts of a body without a copy. Takes ownership of the first part and retains the second. */
     static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
         if (!part.isReadable()) {
             return body;
@@ -267,22 +272,22 @@
     }
 
     private void refuse(ChannelHandlerContext ctx, HttpResponseStatus status) {
-        end();
-        ctx.fireChannelRead(new Unreadable(status));
+        endInput();
+        ctx.fireChannelRead(new UnreadableRequest(status));
     }
 
-    /** No request is read any more; is told how many bytes come all the same. */
-    void forget(IntConsumer bytes) {
-        forgotten = bytes;
-        end();
+    /** Ends the reading of requests; the given consumer receives the number of bytes of each later input. */
+    void discardInput(IntConsumer bytes) {
+        onDiscarded = bytes;
+        endInput();
     }
 
-    private void end() {
-        over = true;
-        since = NONE;
-        if (rest != null) {
-            rest.drop();
-            rest = null;
+    private void endInput() {
+        inputEnded = true;
+        requestSinceMs = NONE;
+        if (bodyStream != null) {
+            bodyStream.drop();
+            bodyStream = null;
         }
         head = null;
         body.release();
@@ -291,7 +296,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end();
+        endInput();
         ctx.fireChannelInactive();
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/RuntimeDirectory.java
+++ b/gateway/src/main/java/marlford/gateway/net/RuntimeDirectory.java
@@ -6,37 +6,38 @@
 import java.util.HexFormat;
 
 /**
- * Where the processes that are one gateway meet, also across an upgrade: the platform's private folder, under the
- * gateway's own name and the address that it serves at, as elsewhere several may share one, and gateways of two deployments
- * may have one name.
+ * Files by which the processes of one gateway find each other, including across an upgrade. They are in the private
+ * directory that the platform provides. Their names contain the gateway's name and listen address, because on other
+ * platforms several gateways may share the directory, and gateways of two deployments may have the same name.
  *
- * @param leftOut holds the hosts that operators left out
- * @param successor socket at which the running process waits for the one that is to take its place
+ * @param excludedHosts file that stores the hosts excluded by operators
+ * @param successor socket on which the running process waits for its successor
  */
-record RuntimeDirectory(Path leftOut, Path successor) {
-    private static final int SOCKET_PATH_MAX = 100; // bytes; the system's own limit lies just above
+record RuntimeDirectory(Path excludedHosts, Path successor) {
+    private static final int MAX_SOCKET_PATH_BYTES = 100; // slightly below the limit of the system
 
-    /** Null where the platform gives no folder, or gave one whose name is too long for a socket's. */
+    /** Returns null when the platform provides no directory, or one whose path is too long for a socket. */
     static RuntimeDirectory in(String folder, String name, InetSocketAddress listen) {
         return under(folder, hex(name.getBytes(StandardCharsets.UTF_8)) + '-' + hex(listen.getAddress().getAddress()) + '-'
                 + listen.getPort());
     }
 
-    /** Where a process of a version before addresses counted has its place; it is asked only where the address is taken. */
+    /** Returns the files of a process of an earlier version, whose names have no address; used only if the address is taken. */
     static RuntimeDirectory before(String folder, String name) {
         return under(folder, hex(name.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static RuntimeDirectory under(String folder, String own) {
+    private static RuntimeDirectory under(String folder, String key) {
         if (folder == null || folder.isEmpty()) {
             return null;
         }
-        Path successor = Path.of(folder, "successor-" + own);
-        if (successor.toString().getBytes(StandardCharsets.UTF_8).length > SOCKET_PATH_MAX) {
-            Node.log("no upgrades and no memory of hosts left out: the path is too long: " + successor);
+        Path successor = Path.of(folder, "successor-" + key);
+        if (successor.toString().getBytes(StandardCharsets.UTF_8).length > MAX_SOCKET_PATH_BYTES) {
+            Node.log("start: upgrades and stored host exclusions are disabled, because this socket path is longer than "
+                    + MAX_SOCKET_PATH_BYTES + " bytes; use a shorter TMPDIR or gateway name: " + successor);
             return null;
         }
-        return new RuntimeDirectory(Path.of(folder, "left-out-" + own), successor);
+        return new RuntimeDirectory(Path.of(folder, "left-out-" + key), successor);
     }
 
     private static String hex(byte[] bytes) {
--- a/gateway/src/main/java/marlford/gateway/net/ServingGateway.java
+++ b/gateway/src/main/java/marlford/gateway/net/ServingGateway.java
@@ -4,27 +4,27 @@
 import java.util.function.Consumer;
 import marlford.gateway.EngineApi.Outcome;
 
-/** What a gateway that serves offers to whoever adds to it. From any thread; answers come on the event loop. */
+/** What a serving gateway offers to its extensions. Methods may be called from any thread; callbacks run on the event loop. */
 public interface ServingGateway {
-    /** Takes what came of a probe. */
-    interface ProbeEnd {
-        /** @param tookMs from its sending on, in milliseconds */
-        void ended(Outcome outcome, double tookMs);
+    /** Receives the result of a probe. */
+    interface ProbeCallback {
+        /** @param tookMs time since the probe was sent, in milliseconds */
+        void onResult(Outcome outcome, double tookMs);
     }
 
-    /** Whether this installation allows probes. */
+    /** Whether the settings allow probes. */
     boolean mayProbe();
 
-    /** The hosts on the list, whatever their state. */
-    void listed(Consumer<Set<String>> to);
+    /** Passes the ids of all listed hosts, whatever their state, to the consumer. */
+    void listed(Consumer<Set<String>> consumer);
 
-    /** Asks a host how it is; ends within 250 ms. */
-    void probe(String host, ProbeEnd end);
+    /** Sends a health probe to a host; it ends within 250 ms. */
+    void probe(String host, ProbeCallback callback);
 
     /**
-     * What a probe of this gateway or of another found; the decision module weighs it against what it knows itself.
+     * Reports the result of a probe by this or another gateway. The decision engine weighs it against its own observations.
      *
-     * @param ageMs at most, since the probe was sent
+     * @param ageMs upper bound of the time since the probe was sent
      */
     void evidence(String host, Outcome outcome, double tookMs, double ageMs);
 }
--- a/gateway/src/main/java/marlford/gateway/net/SettingsValidator.java
+++ b/gateway/src/main/java/marlford/gateway/net/SettingsValidator.java
@@ -11,61 +11,67 @@
 import marlford.gateway.EngineApi.Sharing;
 
 /**
- * Whether settings can be at all. What is out of range is named before a listener opens: a time below nothing or a rate
- * that is none would else show as requests that all fail, or as books that never fill.
+ * Checks that settings are within their ranges. An impossible value is reported before a listener opens: a time of zero or a
+ * negative rate would otherwise only show as requests that all fail, or as quota buckets that never fill.
  */
 final class SettingsValidator {
     private SettingsValidator() { }
 
-    /** The settings, or an IllegalArgumentException that names what is wrong with them. */
-    static Settings checked(Settings s) {
-        hold(s.gateways() > 0, "balancers", s.gateways(), "above 0");
-        hold(s.me() >= 0 && s.me() < s.gateways(), "ordinal", s.me(), "below the number of balancers");
-        hold(!s.classes().isEmpty(), "classes", 0, "at least one");
-        Set<String> names = new HashSet<>();
-        for (RequestClass c : s.classes()) {
-            String at = "classes." + c.name() + ".";
-            hold(names.add(c.name()), at + "name", 2, "there once");
-            hold(c.deadlineMs() > 0, at + "hard_limit_ms", c.deadlineMs(), "above 0");
-            hold(c.aimMs() > 0, at + "goal_time_ms", c.aimMs(), "above 0");
-            hold(c.worth() >= 0, at + "worth", c.worth(), "0 or more");
-            hold(c.lateValue() >= 0, at + "late_value", c.lateValue(), "0 or more");
-            hold(c.effect() != Effect.KEYED || c.windowMs() > 0, at + "window_ms", c.windowMs(), "above 0");
+    /**
+     * Returns the settings if they are valid.
+     *
+     * @throws IllegalArgumentException naming the first setting that is out of range
+     */
+    static Settings validate(Settings settings) {
+        require(settings.gateways() > 0, "balancers", settings.gateways(), "above 0");
+        require(settings.me() >= 0 && settings.me() < settings.gateways(), "ordinal", settings.me(), "below the number of balancers");
+        require(!settings.classes().isEmpty(), "classes", 0, "at least 1 (the number of request classes)");
+        Set<String> classNames = new HashSet<>();
+        for (RequestClass requestClass : settings.classes()) {
+            String prefix = "classes." + requestClass.name() + ".";
+            require(classNames.add(requestClass.name()), prefix + "name", 2, "1 (the number of request classes with this name)");
+            require(requestClass.deadlineMs() > 0, prefix + "hard_limit_ms", requestClass.deadlineMs(), "above 0");
+            require(requestClass.aimMs() > 0, prefix + "goal_time_ms", requestClass.aimMs(), "above 0");
+            require(requestClass.worth() >= 0, prefix + "worth", requestClass.worth(), "0 or more");
+            require(requestClass.lateValue() >= 0, prefix + "late_value", requestClass.lateValue(), "0 or more");
+            require(requestClass.effect() != Effect.KEYED || requestClass.windowMs() > 0, prefix + "window_ms", requestClass.windowMs(),
+                    "above 0");
         }
-        Set<String> plans = new HashSet<>();
-        for (Plan p : s.plans()) {
-            String at = "plans." + p.name() + ".";
-            hold(plans.add(p.name()), at + "name", 2, "there once");
-            hold(p.rate() >= 0, at + "units_per_s", p.rate(), "0 or more");
-            hold(p.burst() >= 0, at + "depth", p.burst(), "0 or more");
-            hold(p.openLimit() >= 0, at + "at_once", p.openLimit(), "0 or more");
-            hold(p.ceilingRate() >= 0, at + "cap_rate", p.ceilingRate(), "0 or more");
-            hold(p.ceilingBurst() >= 0, at + "never_over_depth", p.ceilingBurst(), "0 or more");
+        Set<String> planNames = new HashSet<>();
+        for (Plan plan : settings.plans()) {
+            String prefix = "plans." + plan.name() + ".";
+            require(planNames.add(plan.name()), prefix + "name", 2, "1 (the number of plans with this name)");
+            require(plan.rate() >= 0, prefix + "units_per_s", plan.rate(), "0 or more");
+            require(plan.burst() >= 0, prefix + "depth", plan.burst(), "0 or more");
+            require(plan.openLimit() >= 0, prefix + "at_once", plan.openLimit(), "0 or more");
+            require(plan.ceilingRate() >= 0, prefix + "cap_rate", plan.ceilingRate(), "0 or more");
+            require(plan.ceilingBurst() >= 0, prefix + "never_over_depth", plan.ceilingBurst(), "0 or more");
         }
-        limits(s.limits());
-        rules(s.rules());
-        Sharing shared = s.sharing();
-        hold(shared.maxUnits() > 0, "specifics.max_units", shared.maxUnits(), "above 0");
-        hold(shared.mailPerSecond() >= 0, "specifics.mail_per_s", shared.mailPerSecond(), "0 or more");
-        return s;
+        validateLimits(settings.limits());
+        validateRules(settings.rules());
+        Sharing sharing = settings.sharing();
+        require(sharing.maxUnits() > 0, "specifics.max_units", sharing.maxUnits(), "above 0");
+        require(sharing.mailPerSecond() >= 0, "specifics.mail_per_s", sharing.mailPerSecond(), "0 or more");
+        return settings;
     }
 
-    private static void limits(Limits l) {
-        hold(l.maxAttempts() > 0, "limits.max_attempts", l.maxAttempts(), "above 0");
-        hold(l.maxRetryAfterMs() >= 0, "limits.max_retry_after_ms", l.maxRetryAfterMs(), "0 or more");
+    private static void validateLimits(Limits limits) {
+        require(limits.maxAttempts() > 0, "limits.max_attempts", limits.maxAttempts(), "above 0");
+        require(limits.maxRetryAfterMs() >= 0, "limits.max_retry_after_ms", limits.maxRetryAfterMs(), "0 or more");
     }
 
-    private static void rules(Rules r) {
-        hold(r.drainGraceMs() >= 0, "rules.drain_grace_ms", r.drainGraceMs(), "0 or more");
-        hold(r.fallMs() >= 0, "rules.fall_ms", r.fallMs(), "0 or more");
-        hold(r.fallMultiple() > 0, "rules.fall_multiple", r.fallMultiple(), "above 0");
-        hold(r.coldFrom() >= 0 && r.coldFrom() <= 1, "rules.cold_from", r.coldFrom(), "between 0 and 1");
-        hold(r.warmWithinMs() >= 0, "rules.warm_within_ms", r.warmWithinMs(), "0 or more");
+    private static void validateRules(Rules rules) {
+        require(rules.drainGraceMs() >= 0, "rules.drain_grace_ms", rules.drainGraceMs(), "0 or more");
+        require(rules.fallMs() >= 0, "rules.fall_ms", rules.fallMs(), "0 or more");
+        require(rules.fallMultiple() > 0, "rules.fall_multiple", rules.fallMultiple(), "above 0");
+        require(rules.coldFrom() >= 0 && rules.coldFrom() <= 1, "rules.cold_from", rules.coldFrom(), "between 0 and 1");
+        require(rules.warmWithinMs() >= 0, "rules.warm_within_ms", rules.warmWithinMs(), "0 or more");
     }
 
-    static void hold(boolean right, String name, double value, String wanted) {
-        if (!right) {
-            throw new IllegalArgumentException("settings: '" + name + "' is " + value + " and must be " + wanted);
+    /** Throws an exception that names the setting, its value and the valid range unless the condition holds. */
+    static void require(boolean valid, String name, double value, String expected) {
+        if (!valid) {
+            throw new IllegalArgumentException("settings: '" + name + "' is " + value + " and must be " + expected);
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/StartupRehearsal.java
+++ b/gateway/src/main/java/marlford/gateway/net/StartupRehearsal.java
@@ -19,14 +19,14 @@
 import marlford.gateway.upgrade.Predecessor;
 
 /**
- * One short life of a node that is its own host, peer and discovery, so that each part runs once. The build keeps
- * the classes that it loads in an archive, from which a restarted node starts in half the time.
+ * Runs a node for a short time as its own host, peer and discovery agent, so that each part is executed once. The build
+ * stores the classes that this loads in an archive, with which a restarted node starts in half the time.
  */
 public final class StartupRehearsal {
-    private static final int ENOUGH = 64; // bytes that hold a status line
-    private static final int PATIENCE_MS = 10_000;
-    private static final String NAME = "rehearsal";
-    private static final String CONFIG = """
+    private static final int STATUS_LINE_BYTES = 64; // enough to hold a status line
+    private static final int TIME_LIMIT_MS = 10_000;
+    private static final String GATEWAY_NAME = "rehearsal";
+    private static final String CONFIGURATION = """
             {"name": "rehearsal", "console": "%3$s", "listen": "%1$s", "discovery": "%2$s", "seed": "1", "peer_listen": "%1$s",
              "peers": ["%1$s", "%1$s"], "known": {"version": 1, "full": true, "servers": [{"id": "self",
                "addr": "%1$s", "zone": "a", "kind": "k", "cell": 0, "state": "ready", "weight": 1,
@@ -43,7 +43,7 @@
             + "X-Customer: 00000000b4d65521\r\nX-Expires-In-Ms: 600\r\nX-Quota: units=1,spread=%d,first=0\r\n"
             + "Connection: close\r\n\r\n";
 
-    private static final List<String> CALLS = List.of("GET /admin/stats HTTP/1.1\r\n\r\n",
+    private static final List<String> ADMIN_REQUESTS = List.of("GET /admin/stats HTTP/1.1\r\n\r\n",
             "GET /admin/health HTTP/1.1\r\n\r\n",
             "POST /admin/cordon HTTP/1.1\r\nContent-Length: 4\r\n\r\nself",
             "POST /admin/uncordon HTTP/1.1\r\nContent-Length: 4\r\n\r\nself",
@@ -55,85 +55,91 @@
 
     private StartupRehearsal() { }
 
-    /** Returns when all has been gone through. */
+    /**
+     * Runs the rehearsal and returns when it is complete.
+     *
+     * @throws IOException if the node does not start or a request gets no answer
+     */
     public static void run() throws IOException, InterruptedException {
         StderrLogger.install();
-        InetSocketAddress at = free();
-        InetSocketAddress console = free();
-        String address = text(at);
+        InetSocketAddress address = freeAddress();
+        InetSocketAddress console = freeAddress();
+        String addressText = hostAndPort(address);
         Path file = Files.writeString(Files.createTempFile("rehearsal", ".json"),
-                CONFIG.formatted(address, agent(LIST.formatted(address)), text(console)));
+                CONFIGURATION.formatted(addressText, startAgent(LIST.formatted(addressText)), hostAndPort(console)));
         Path folder = Files.createTempDirectory("rehearsal");
-        ConfigurationReloader reload = ConfigurationReloader.onHangup(file.toString());
+        ConfigurationReloader reloader = ConfigurationReloader.onHangup(file.toString());
         Node node;
         try {
-            node = Node.serve(reload, folder.toString(), StartBudget.ofThisProcess(), false);
+            node = Node.serve(reloader, folder.toString(), StartBudget.ofThisProcess(), false);
         } catch (NodeConfig.BadConfig e) {
             throw new IOException(e);
         }
         try {
-            say(at);
-            ask(at, "/healthz", "0", 1);
-            ask(at, "/view/alone", "1", 1);
-            ask(at, "/view/shared", "2", 2);
-            for (String call : CALLS) {
-                call(console, call);
+            sendDatagram(address);
+            sendRequest(address, "/healthz", "0", 1);
+            sendRequest(address, "/view/alone", "1", 1);
+            sendRequest(address, "/view/shared", "2", 2);
+            for (String request : ADMIN_REQUESTS) {
+                exchange(console, request);
             }
-            Path successor = RuntimeDirectory.in(folder.toString(), NAME, at).successor();
-            Predecessor.find(successor, PATIENCE_MS).close(); // as a process that ends before it takes over
+            Path successorSocket = RuntimeDirectory.in(folder.toString(), GATEWAY_NAME, address).successor();
+            Predecessor.find(successorSocket, TIME_LIMIT_MS).close(); // like a successor process that ends before the handover
         } finally {
-            node.stop(); // or a build would never end
+            node.stop(); // otherwise its threads would keep the build running
             Files.delete(file);
-            try (Stream<Path> left = Files.walk(folder)) {
-                left.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::deleteOnExit);
+            try (Stream<Path> files = Files.walk(folder)) {
+                files.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::deleteOnExit);
             }
         }
     }
 
-    /** What a peer would say, but for its sense. */
-    private static void say(InetSocketAddress at) throws IOException {
-        try (DatagramSocket peer = new DatagramSocket(0, at.getAddress())) {
-            peer.send(new DatagramPacket(new byte[ENOUGH], ENOUGH, at));
+    /** Sends a datagram as a peer would, although with meaningless content. */
+    private static void sendDatagram(InetSocketAddress address) throws IOException {
+        try (DatagramSocket peer = new DatagramSocket(0, address.getAddress())) {
+            peer.send(new DatagramPacket(new byte[STATUS_LINE_BYTES], STATUS_LINE_BYTES, address));
         }
     }
 
-    private static InetSocketAddress free() throws IOException {
+    /** Returns an address with a free port. */
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
     }
 
-    private static String text(InetSocketAddress at) {
-        return at.getAddress().getHostAddress() + ':' + at.getPort();
+    private static String hostAndPort(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ':' + address.getPort();
     }
 
-    /** Answers the call for the list, and a watch not at all. */
-    private static String agent(String list) throws IOException {
+    /** Starts a discovery agent that answers the list request and leaves the watch request open; returns its address. */
+    private static String startAgent(String list) throws IOException {
         ServerSocket agent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        Thread answering = new Thread(() -> {
-            try (agent; Socket s = agent.accept()) {
-                s.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+        Thread agentThread = new Thread(() -> {
+            try (agent; Socket socket = agent.accept()) {
+                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                         .getBytes(StandardCharsets.US_ASCII));
-                s.getInputStream().transferTo(OutputStream.nullOutputStream());
+                socket.getInputStream().transferTo(OutputStream.nullOutputStream());
             } catch (IOException e) {
-                Node.log("rehearsal: " + e.getMessage());
+                Node.log("rehearsal: the simulated discovery agent failed: " + e.getMessage());
             }
         });
-        answering.setDaemon(true);
-        answering.start();
+        agentThread.setDaemon(true);
+        agentThread.start();
         return agent.getInetAddress().getHostAddress() + ':' + agent.getLocalPort();
     }
 
-    private static void ask(InetSocketAddress at, String path, String id, int spread) throws IOException {
-        call(at, REQUEST.formatted(path, id, spread));
+    private static void sendRequest(InetSocketAddress address, String path, String id, int spread) throws IOException {
+        exchange(address, REQUEST.formatted(path, id, spread));
     }
 
-    private static void call(InetSocketAddress at, String request) throws IOException {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
-            socket.setSoTimeout(PATIENCE_MS);
+    /** Sends a request and waits for the start of its answer. */
+    private static void exchange(InetSocketAddress address, String request) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(TIME_LIMIT_MS);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            if (socket.getInputStream().readNBytes(ENOUGH).length == 0) {
-                throw new IOException("no answer to " + request);
+            if (socket.getInputStream().readNBytes(STATUS_LINE_BYTES).length == 0) {
+                throw new IOException("rehearsal: the connection was closed without an answer to the request " + request);
             }
         }
     }
--- a/gateway/src/main/java/marlford/gateway/net/StderrLogger.java
+++ b/gateway/src/main/java/marlford/gateway/net/StderrLogger.java
@@ -7,14 +7,14 @@
 import io.netty.util.internal.logging.MessageFormatter;
 
 /**
- * One plain line for each thing that netty tells of, from its information on. The system's own logging costs a start a
- * tenth of its processor time, and its handler reads the time zones' file for its first line: where that line says that
- * no descriptor is left, this would end the event loop.
+ * Writes Netty's log messages of level INFO and above to stderr, one line each. The logging of the JDK takes a tenth of the
+ * processor time of a start, and its handler reads the time zone file before its first line. If that line reports that no
+ * descriptor is left, reading the file fails and would end the event loop.
  */
 final class StderrLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
 
-    /** Makes this netty's only log. */
+    /** Makes this the only logger of Netty. */
     static void install() {
         InternalLoggerFactory.setDefaultFactory(new InternalLoggerFactory() {
             @Override
@@ -28,8 +28,8 @@
         super(name);
     }
 
-    private static void line(String level, FormattingTuple said) {
-        line(level, said.getMessage(), said.getThrowable());
+    private static void line(String level, FormattingTuple formatted) {
+        line(level, formatted.getMessage(), formatted.getThrowable());
     }
 
     private static void line(String level, String message, Throwable thrown) {
@@ -51,7 +51,7 @@
     public void trace(String format, Object a, Object b) { }
 
     @Override
-    public void trace(String format, Object... all) { }
+    public void trace(String format, Object... arguments) { }
 
     @Override
     public void trace(String message, Throwable thrown) { }
@@ -71,7 +71,7 @@
     public void debug(String format, Object a, Object b) { }
 
     @Override
-    public void debug(String format, Object... all) { }
+    public void debug(String format, Object... arguments) { }
 
     @Override
     public void debug(String message, Throwable thrown) { }
@@ -97,8 +97,8 @@
     }
 
     @Override
-    public void info(String format, Object... all) {
-        line("INFO", MessageFormatter.arrayFormat(format, all));
+    public void info(String format, Object... arguments) {
+        line("INFO", MessageFormatter.arrayFormat(format, arguments));
     }
 
     @Override
@@ -127,8 +127,8 @@
     }
 
     @Override
-    public void warn(String format, Object... all) {
-        line("WARNING", MessageFormatter.arrayFormat(format, all));
+    public void warn(String format, Object... arguments) {
+        line("WARNING", MessageFormatter.arrayFormat(format, arguments));
     }
 
     @Override
@@ -157,8 +157,8 @@
     }
 
     @Override
-    public void error(String format, Object... all) {
-        line("SEVERE", MessageFormatter.arrayFormat(format, all));
+    public void error(String format, Object... arguments) {
+        line("SEVERE", MessageFormatter.arrayFormat(format, arguments));
     }
 
     @Override
--- a/gateway/src/main/java/marlford/gateway/net/StreamedRequest.java
+++ b/gateway/src/main/java/marlford/gateway/net/StreamedRequest.java
@@ -6,18 +6,18 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.util.ReferenceCountUtil;
 
-/** A request of whose body only the first part is kept; the rest follows by its {@link RequestBodyStream}. */
+/** A request of whose body only the first part is buffered; the rest follows through its {@link RequestBodyStream}. */
 final class StreamedRequest extends DefaultFullHttpRequest {
     final RequestBodyStream rest;
 
-    /** Takes over the kept part. */
-    StreamedRequest(HttpRequest head, ByteBuf kept, RequestBodyStream rest) {
-        super(head.protocolVersion(), head.method(), head.uri(), kept, head.headers(), EmptyHttpHeaders.INSTANCE);
+    /** Takes ownership of the buffered part of the body. */
+    StreamedRequest(HttpRequest head, ByteBuf bufferedBody, RequestBodyStream rest) {
+        super(head.protocolVersion(), head.method(), head.uri(), bufferedBody, head.headers(), EmptyHttpHeaders.INSTANCE);
         this.rest = rest;
     }
 
-    /** Lets go of a message that nobody is to have any more: what is kept of it, and the rest where it has one. */
-    static void free(Object message) {
+    /** Releases a message that is not processed any further, including the rest of its body. */
+    static void discard(Object message) {
         ReferenceCountUtil.release(message);
         RequestBodyStream rest = restOf(message);
         if (rest != null) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /** The rest of a request's body; null where all of it is kept. */
+    /** Returns the rest of a request's body; null when the body is buffered completely. */
     static RequestBodyStream restOf(Object request) {
         return request instanceof StreamedRequest ? ((StreamedRequest) request).rest : null;
     }
--- a/gateway/src/main/java/marlford/gateway/net/StrictHeaders.java
+++ b/gateway/src/main/java/marlford/gateway/net/StrictHeaders.java
@@ -10,35 +10,35 @@
 import java.util.List;
 
 /**
- * Header lines of a message as they are read. A line that leaves open where the message ends, or which of two values
- * holds, makes the message unreadable: the decoder would otherwise choose one and drop the other, and a receiver that
- * chooses differently finds a second message inside the first.
+ * Headers of a message that is being decoded. A header that leaves the end of the message or the choice between two values
+ * ambiguous makes the message unreadable. The decoder would otherwise choose one value and drop the other, and a receiver
+ * that chooses differently would find a second message inside the first (request smuggling).
  */
 final class StrictHeaders extends DefaultHttpHeaders {
-    private static final int LENGTH_DIGITS = 10; // of a length; far more than any message here may have
+    private static final int MAX_LENGTH_DIGITS = 10; // of a Content-Length; far more than any accepted message needs
 
-    private final List<AsciiString> single;
+    private final List<AsciiString> singleValued;
 
-    private StrictHeaders(DefaultHttpHeadersFactory values, List<AsciiString> single) {
+    private StrictHeaders(DefaultHttpHeadersFactory values, List<AsciiString> singleValued) {
         super(DefaultHttpHeadersFactory.headersFactory().getNameValidator(), values.getValueValidator());
-        this.single = single;
+        this.singleValued = singleValued;
     }
 
-    /** Of requests: each of these headers may stand once, and what no header may hold is not let in. */
-    static HttpHeadersFactory ofRequests(List<AsciiString> single) {
-        return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(true), single);
+    /** Returns headers for requests: those given may appear only once, and values with forbidden characters are rejected. */
+    static HttpHeadersFactory ofRequests(List<AsciiString> singleValued) {
+        return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(true), singleValued);
     }
 
-    /** Of answers: a line that serves only its reader, such as a load report, may hold what it likes. */
+    /** Returns headers for answers: values are not validated, because some, such as load reports, serve the gateway only. */
     static HttpHeadersFactory ofAnswers() {
         return factory(DefaultHttpHeadersFactory.headersFactory().withValidation(false), List.of());
     }
 
-    private static HttpHeadersFactory factory(DefaultHttpHeadersFactory values, List<AsciiString> single) {
+    private static HttpHeadersFactory factory(DefaultHttpHeadersFactory values, List<AsciiString> singleValued) {
         return new HttpHeadersFactory() {
             @Override
             public HttpHeaders newHeaders() {
-                return new StrictHeaders(values, single);
+                return new StrictHeaders(values, singleValued);
             }
 
             @Override
@@ -51,30 +51,31 @@
     @Override
     public HttpHeaders add(CharSequence name, Object value) {
         if (HttpHeaderNames.CONTENT_LENGTH.contentEqualsIgnoreCase(name)) {
-            check(isLength(value.toString()) && !bounded(), name);
+            require(isLength(value.toString()) && !hasBodyLength(), name);
         } else if (HttpHeaderNames.TRANSFER_ENCODING.contentEqualsIgnoreCase(name)) {
-            check(HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(value.toString()) && !bounded(), name);
+            require(HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(value.toString()) && !hasBodyLength(), name);
         } else {
-            for (AsciiString known : single) {
-                check(!known.contentEqualsIgnoreCase(name) || !contains(known), name);
+            for (AsciiString header : singleValued) {
+                require(!header.contentEqualsIgnoreCase(name) || !contains(header), name);
             }
         }
         return super.add(name, value);
     }
 
-    private boolean bounded() {
+    /** Whether a header already determines the end of the message. */
+    private boolean hasBodyLength() {
         return contains(HttpHeaderNames.CONTENT_LENGTH) || contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    private static void check(boolean right, CharSequence name) {
-        if (!right) {
-            throw new IllegalArgumentException("ambiguous or malformed " + name);
+    private static void require(boolean valid, CharSequence name) {
+        if (!valid) {
+            throw new IllegalArgumentException("expected one unambiguous value, found a repeated, conflicting or malformed header " + name);
         }
     }
 
-    /** Digits alone, and no nought ahead of them: not all receivers read the rest alike. */
+    /** Whether the text consists of digits without a leading zero; receivers interpret other forms differently. */
     private static boolean isLength(String text) {
-        return !text.isEmpty() && text.length() <= LENGTH_DIGITS && RequestParser.isWithin(text, '0', '9')
+        return !text.isEmpty() && text.length() <= MAX_LENGTH_DIGITS && RequestParser.isWithin(text, '0', '9')
                 && (text.length() == 1 || text.charAt(0) != '0');
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/UsageRecorder.java
+++ b/gateway/src/main/java/marlford/gateway/net/UsageRecorder.java
@@ -1,11 +1,11 @@
 package marlford.gateway.net;
 
 /**
- * Takes note of what was let in. Called on the event loop, once for each request, before its first byte leaves for a host;
- * it returns at once.
+ * Records admitted requests. Methods are called on the event loop and must return at once; {@link #admitted} is called once
+ * per request, before its first byte is written to a host.
  */
 public interface UsageRecorder {
-    /** Keeps no note. */
+    /** Records nothing. */
     UsageRecorder NONE = new UsageRecorder() {
         @Override
         public void admitted(long customer, double units) { }
@@ -14,9 +14,9 @@
         public void look() { }
     };
 
-    /** A request was let in, and its units are charged. */
+    /** Records that a request was admitted and that its units are charged. */
     void admitted(long customer, double units);
 
-    /** Time passes; about once a second. */
+    /** Called about once per second, so that the recorder can do periodic work. */
     void look();
 }
--- a/gateway/src/main/java/marlford/gateway/net/WarmUp.java
+++ b/gateway/src/main/java/marlford/gateway/net/WarmUp.java
@@ -38,113 +38,118 @@
 import marlford.gateway.quota.QuotaCoordinator;
 
 /**
- * Before a node takes clients, two of its kind serve made-up ones in the process's memory, so that the code which
- * every request runs through is compiled by then. Else, on a third of a core, the first seconds of interpreted code
- * serve half of what comes, and the queue that this leaves in the sockets makes all the rest late as well: clients
- * give up, connect anew, and accepting them takes the time that answers need.
+ * Warms up the code before a node accepts clients: two nodes serve synthetic requests over an in-memory transport, so that
+ * the code that every request runs through is compiled by then. Without it, on a third of a core, the interpreted code of
+ * the first seconds serves only half of the requests. The queue that builds up in the sockets then delays all later ones:
+ * clients give up and connect again, and accepting them takes the time that answers need.
  *
- * <p>It also covers a start on a whole core. It could hurt where gateways restart one after another, since the longer
- * absence of each leaves few of them: it ends at once where the fleet turns out to serve, and at a time limit.
+ * <p>It also covers a start on a whole core. It could do harm when gateways restart one after another, because each is
+ * absent for longer and few remain. For this reason it ends early when other gateways turn out to be serving, and at a time
+ * limit.
  */
 final class WarmUp {
-    /** Answers after which nearly all that a request needs is compiled: methods are from some 200 calls on. */
-    static final int ENOUGH = 600;
-    /** Answers after which at least each path of a request was gone once: so many a return waits for, too. */
-    static final int RETURNED = 60;
+    /** Answers after which nearly all code of a request is compiled: methods are compiled after about 200 calls. */
+    static final int FULL_WARM_UP_ANSWERS = 600;
+    /** Answers after which each code path of a request has run at least once. A restart in a serving fleet waits for these. */
+    static final int RESTART_ANSWERS = 60;
     /**
-     * The same in a tier of more than {@value #FEW} gateways. There each has a smaller part of the clients, which what is not
-     * compiled yet can serve, and a herd that is killed at once is missed for as long as its starts take.
+     * The same in a tier of more than {@value #SMALL_TIER_GATEWAYS} gateways. There each gateway has a smaller share of the
+     * clients, which code that is not compiled yet can serve, and many gateways that are killed at once are absent for as
+     * long as their starts take.
      */
-    static final int RETURNED_AMONG_MANY = 15;
-    private static final int FEW = 6;
+    static final int RESTART_ANSWERS_LARGE_TIER = 15;
+    private static final int SMALL_TIER_GATEWAYS = 6;
 
-    private static final long QUIET_MS = 20; // in which each side hears of the other's end
-    private static final long POLL_MS = 10; // how often it looks whether it should end early
-    private static final long LAST_MS = 1000;
+    private static final long SHUTDOWN_QUIET_MS = 20; // in which each side notices the end of the other
+    private static final long EARLY_END_POLL_MS = 10;
+    private static final long SHUTDOWN_LIMIT_MS = 1000;
     private static final int HOSTS = 4;
     private static final int CLIENTS = 12;
-    private static final int ASKS = 4; // requests on a connection; then comes a new one
+    private static final int REQUESTS_PER_CONNECTION = 4; // then the client opens a new connection
     private static final int CUSTOMERS = 256;
-    private static final int FAULT_EVERY = 16; // answers of hosts, among which each fault comes once
-    private static final double MAIL_PER_SECOND = 4000; // no message waits for the next gap
-    private static final int BODY = 256; // bytes of an answer
+    private static final int ANSWERS_PER_FAULT_CYCLE = 16; // each fault occurs once among this many answers of the hosts
+    private static final double UNLIMITED_MESSAGES_PER_SECOND = 4000; // high enough that no peer message is delayed
+    private static final int BODY_BYTES = 256;
     private static final HexFormat HEX = HexFormat.of();
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final Transport TRANSPORT = Transport.MEMORY;
 
-    private static final String LENGTH = "\r\nContent-Length: " + BODY + "\r\n\r\n";
-    /** What hosts answer: each fault in its turn, and what is usual. */
+    private static final String CONTENT_LENGTH = "\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n";
+    /** Answers of the hosts: each fault once, then the usual answer. */
     private static final List<ByteBuf> ANSWERS = Stream.of("503 Service Unavailable\r\nX-Never-Ran: 1",
             "500 Internal Server Error", "200 OK\r\nConnection: close", "200 OK")
-            .map(line -> Unpooled.unreleasableBuffer(message("HTTP/1.1 " + line + LENGTH, BODY))).toList();
-    private static final int LAST_ANSWER = 2; // of a connection
+            .map(line -> Unpooled.unreleasableBuffer(message("HTTP/1.1 " + line + CONTENT_LENGTH, BODY_BYTES))).toList();
+    private static final int CLOSING_ANSWER = 2; // index of the answer after which the host closes the connection
     private static final AtomicInteger NEXT_ADDRESS = new AtomicInteger(1);
 
     private final NodeConfig config;
-    private final int firstAddress = NEXT_ADDRESS.getAndAdd(2 + HOSTS); // in memory; the one before may still end
-    private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    /** Another loop: what both sides of a channel in memory do on one, they do from inside each other. */
-    private final NioEventLoopGroup outside = new NioEventLoopGroup(1);
+    private final int firstAddress = NEXT_ADDRESS.getAndAdd(2 + HOSTS); // an earlier warm-up may still be shutting down
+    private final NioEventLoopGroup nodeGroup = new NioEventLoopGroup(1);
+    /** A second event loop: on a single one, both sides of an in-memory channel would call into each other. */
+    private final NioEventLoopGroup remoteGroup = new NioEventLoopGroup(1);
     private final List<Node> nodes = new ArrayList<>();
     private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
     private final ChannelGroup hosts = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
-    private final CountDownLatch left;
-    private volatile boolean over;
-    private int asked;
-    private int served;
+    private final CountDownLatch answersLeft;
+    private volatile boolean ended;
+    private int requestCount;
+    private int answerCount;
 
     private WarmUp(NodeConfig config, int answers) {
         this.config = config;
-        this.left = new CountDownLatch(answers);
+        this.answersLeft = new CountDownLatch(answers);
     }
 
-    /** Returns how many answers came of those wanted; fewer where the time was up. */
-    static int run(NodeConfig config, int answers, long patienceMs, BooleanSupplier enough)
+    /**
+     * Runs a warm-up and returns the number of answers received. Blocks until all wanted answers have arrived, the time limit
+     * has passed, or enough for a restart have arrived and {@code canEndEarly} returns true.
+     */
+    static int run(NodeConfig config, int answers, long limitMs, BooleanSupplier canEndEarly)
             throws InterruptedException {
         WarmUp warmUp = new WarmUp(config, answers);
-        int least = returned(config.settings().gateways());
+        int restartAnswers = restartAnswers(config.settings().gateways());
         try {
             warmUp.start();
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
-            while (!warmUp.left.await(POLL_MS, TimeUnit.MILLISECONDS) && System.nanoTime() < end
-                    && !(answers - warmUp.left.getCount() >= least && enough.getAsBoolean())) {
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
+            while (!warmUp.answersLeft.await(EARLY_END_POLL_MS, TimeUnit.MILLISECONDS) && System.nanoTime() < end
+                    && !(answers - warmUp.answersLeft.getCount() >= restartAnswers && canEndEarly.getAsBoolean())) {
                 continue;
             }
-            return (int) (answers - warmUp.left.getCount());
+            return (int) (answers - warmUp.answersLeft.getCount());
         } finally {
-            warmUp.over = true;
-            Thread end = new Thread(warmUp::end, "warm-up's end"); // what is left of it holds nobody up
+            warmUp.ended = true;
+            Thread end = new Thread(warmUp::end, "warm-up's end"); // the shutdown must not delay the start
             end.setDaemon(true);
             end.start();
         }
     }
 
-    /** Answers after which a return in a tier of so many gateways is warm enough. */
-    static int returned(int gateways) {
-        return gateways > FEW ? RETURNED_AMONG_MANY : RETURNED;
+    /** Returns the number of answers that a restart waits for in a tier of this many gateways. */
+    static int restartAnswers(int gateways) {
+        return gateways > SMALL_TIER_GATEWAYS ? RESTART_ANSWERS_LARGE_TIER : RESTART_ANSWERS;
     }
 
     private void end() {
         try {
             close();
-            Future<?> ended = outside.shutdownGracefully(QUIET_MS, LAST_MS, TimeUnit.MILLISECONDS);
-            group.shutdownGracefully(QUIET_MS, LAST_MS, TimeUnit.MILLISECONDS).await();
-            ended.await();
+            Future<?> remoteEnded = remoteGroup.shutdownGracefully(SHUTDOWN_QUIET_MS, SHUTDOWN_LIMIT_MS, TimeUnit.MILLISECONDS);
+            nodeGroup.shutdownGracefully(SHUTDOWN_QUIET_MS, SHUTDOWN_LIMIT_MS, TimeUnit.MILLISECONDS).await();
+            remoteEnded.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Ends the made-up world from its clients on, each side having been told before its loop goes. */
+    /** Closes the clients, then the nodes, then the hosts, so that each side notices the end before its event loop stops. */
     private void close() throws InterruptedException {
         clients.close().await();
-        group.submit(() -> nodes.forEach(Node::endAll)).await();
+        nodeGroup.submit(() -> nodes.forEach(Node::endAll)).await();
         hosts.close().await();
-        group.submit(() -> { }).await();
+        nodeGroup.submit(() -> { }).await();
     }
 
     private InetSocketAddress address(int number) {
-        return new InetSocketAddress(HERE, firstAddress + number);
+        return new InetSocketAddress(LOOPBACK, firstAddress + number);
     }
 
     private InetSocketAddress hostAddress(int number) {
@@ -154,65 +159,66 @@
     private void start() throws InterruptedException {
         List<Discovery.Entry> list = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
-            InetSocketAddress at = hostAddress(i);
+            InetSocketAddress address = hostAddress(i);
             list.add(new Discovery.Entry(
-                    new Host("warm-" + i, config.settings().zone(), "", 0, HostState.RUNNING, 1, 0), at));
-            TRANSPORT.server(outside).childHandler(new ChannelInitializer<>() {
+                    new Host("warm-" + i, config.settings().zone(), "", 0, HostState.RUNNING, 1, 0), address));
+            TRANSPORT.server(remoteGroup).childHandler(new ChannelInitializer<>() {
                 @Override
                 protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(new StandInHost());
+                    ch.pipeline().addLast(new SyntheticHost());
                 }
-            }).bind(TRANSPORT.at(at)).sync();
+            }).bind(TRANSPORT.at(address)).sync();
         }
-        for (int me = 0; me < 2; me++) {
-            nodes.add(new Node(of(me), DecisionEngine::new, TRANSPORT, group));
+        for (int index = 0; index < 2; index++) {
+            nodes.add(new Node(configOf(index), DecisionEngine::new, TRANSPORT, nodeGroup));
         }
         for (Node node : nodes) {
-            int me = node.config.settings().me();
-            node.linkBy((peer, data) -> group.execute(() -> nodes.get(1 - me).peerSaid(me, data)));
-            group.submit(() -> node.listen()).sync().getNow().sync();
-            group.execute(() -> node.hostsTold(ListKind.FULL, list));
+            int index = node.config.settings().me();
+            node.usePeerSender((peer, data) -> nodeGroup.execute(() -> nodes.get(1 - index).peerSaid(index, data)));
+            nodeGroup.submit(() -> node.listen()).sync().getNow().sync();
+            nodeGroup.execute(() -> node.hostsTold(ListKind.FULL, list));
         }
-        outside.execute(() -> {
+        remoteGroup.execute(() -> {
             for (int i = 0; i < CLIENTS; i++) {
                 connect();
             }
         });
     }
 
-    /** The settings of this node, but for a fleet of two that may say all to each other at once. */
-    private NodeConfig of(int me) {
-        Settings s = config.settings();
-        Sharing sharing = s.sharing();
-        // Hundreds share quotas by code of their own: these two are the first of as many.
-        boolean hundreds = QuotaCoordinator.isFor(s.gateways(), sharing.mailPerSecond());
-        Sharing quick = new Sharing(sharing.counter(), sharing.counterPrice(), sharing.meterPeriodMs(),
-                sharing.postPaid(), sharing.maxUnits(), hundreds ? sharing.mailPerSecond() : MAIL_PER_SECOND,
+    /** Returns the settings of this node for a tier of two gateways that may exchange messages without a rate limit. */
+    private NodeConfig configOf(int index) {
+        Settings base = config.settings();
+        Sharing sharing = base.sharing();
+        // Tiers of hundreds of gateways share quotas by different code; the two nodes are then the first of a tier of that size.
+        boolean largeTier = QuotaCoordinator.isFor(base.gateways(), sharing.mailPerSecond());
+        Sharing unlimitedSharing = new Sharing(sharing.counter(), sharing.counterPrice(), sharing.meterPeriodMs(),
+                sharing.postPaid(), sharing.maxUnits(), largeTier ? sharing.mailPerSecond() : UNLIMITED_MESSAGES_PER_SECOND,
                 sharing.peerPrice(), sharing.probePrice(), sharing.zonePrice());
-        Settings settings = new Settings(s.seed(), me, hundreds ? s.gateways() : 2, s.zone(), false, s.classes(), s.plans(), s.reportNames(),
-                s.limits(), s.rules(), quick);
-        return new NodeConfig(config.name(), null, address(me), null, null, List.of(), null, config.sockets(), MissingNode.getInstance(),
-                settings, config.connectTimeoutMs(), config.idleMs(), config.maxOpen());
+        Settings settings = new Settings(base.seed(), index, largeTier ? base.gateways() : 2, base.zone(), false, base.classes(),
+                base.plans(), base.reportNames(), base.limits(), base.rules(), unlimitedSharing);
+        return new NodeConfig(config.name(), null, address(index), null, null, List.of(), null, config.sockets(),
+                MissingNode.getInstance(), settings, config.connectTimeoutMs(), config.idleMs(), config.maxOpenRequests());
     }
 
     private void connect() {
-        TRANSPORT.client(outside.next()).handler(new ChannelInitializer<>() {
+        TRANSPORT.client(remoteGroup.next()).handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel ch) {
-                ch.pipeline().addLast(new StandInClient());
+                ch.pipeline().addLast(new SyntheticClient());
             }
         }).connect(TRANSPORT.at(address(0)));
     }
 
     /**
-     * The other side of a connection, which reads and writes plain bytes: what a stand-in did with a codec would be
-     * work that no real request needs. One exchange is under way at a time, and a side writes its message at once, so
-     * that the end of what can be read is the end of the message.
+     * The remote side of a connection, which reads and writes plain bytes: a codec would be work that no real request needs.
+     * One exchange is in progress at a time and a side writes each message at once, so the end of the available input is the
+     * end of the message.
      */
-    private abstract static class StandIn extends ChannelInboundHandlerAdapter {
+    private abstract static class SyntheticPeer extends ChannelInboundHandlerAdapter {
         private boolean read;
 
-        abstract void exchanged(ChannelHandlerContext ctx);
+        /** Called when a message of the node has been read. */
+        abstract void messageRead(ChannelHandlerContext ctx);
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
@@ -224,59 +230,61 @@
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (read) {
                 read = false;
-                exchanged(ctx);
+                messageRead(ctx);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close(); // a message may cross the end of the connection
+            ctx.close(); // the node may close the connection while a message is being written
         }
     }
 
-    private final class StandInClient extends StandIn {
-        private int asks;
+    /** Sends a fixed number of requests, then opens a new connection. */
+    private final class SyntheticClient extends SyntheticPeer {
+        private int requests;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             clients.add(ctx.channel());
-            ask(ctx);
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            asks++;
+        private void sendRequest(ChannelHandlerContext ctx) {
+            requests++;
             ctx.writeAndFlush(request(), ctx.voidPromise());
         }
 
         @Override
-        void exchanged(ChannelHandlerContext ctx) {
-            left.countDown();
-            if (asks < ASKS) {
-                ask(ctx);
+        void messageRead(ChannelHandlerContext ctx) {
+            answersLeft.countDown();
+            if (requests < REQUESTS_PER_CONNECTION) {
+                sendRequest(ctx);
             } else {
                 ctx.close();
-                if (!over) {
+                if (!ended) {
                     connect();
                 }
             }
         }
     }
 
+    /** Returns the next request; classes, customers and plans alternate. */
     private ByteBuf request() {
-        int n = asked++;
+        int number = requestCount++;
         List<RequestClass> classes = config.settings().classes();
-        RequestClass cls = classes.get(n % classes.size());
-        boolean safe = cls.effect() == Effect.REPEATABLE;
-        int customer = n % CUSTOMERS;
+        RequestClass requestClass = classes.get(number % classes.size());
+        boolean repeatable = requestClass.effect() == Effect.REPEATABLE;
+        int customer = number % CUSTOMERS;
         List<Plan> plans = config.settings().plans();
-        String head = (safe ? "GET /" : "POST /") + cls.name() + "/warm HTTP/1.1\r\nHost: warm\r\n"
-                + RequestParser.ID + ": " + n + "\r\n"
+        String head = (repeatable ? "GET /" : "POST /") + requestClass.name() + "/warm HTTP/1.1\r\nHost: warm\r\n"
+                + RequestParser.ID + ": " + number + "\r\n"
                 + RequestParser.PLAN + ": " + plans.get(customer % plans.size()).name() + "\r\n"
                 + RequestParser.CUSTOMER + ": " + HEX.toHexDigits((long) customer) + "\r\n"
-                + RequestParser.EXPIRES + ": " + (int) cls.deadlineMs() + "\r\n"
+                + RequestParser.EXPIRES + ": " + (int) requestClass.deadlineMs() + "\r\n"
                 + RequestParser.QUOTA + ": units=1,spread=" + (1 + customer % 2) + ",first=0\r\n"
-                + RequestParser.KEY + ": " + n + "\r\nContent-Length: " + (safe ? 0 : BODY) + "\r\n\r\n";
-        return message(head, safe ? 0 : BODY);
+                + RequestParser.KEY + ": " + number + "\r\nContent-Length: " + (repeatable ? 0 : BODY_BYTES) + "\r\n\r\n";
+        return message(head, repeatable ? 0 : BODY_BYTES);
     }
 
     private static ByteBuf message(String head, int body) {
@@ -284,18 +292,18 @@
         return Unpooled.wrappedBuffer(Arrays.copyOf(ascii, ascii.length + body));
     }
 
-    /** Answers at once, now and then with what hosts in trouble do. */
-    private final class StandInHost extends StandIn {
+    /** Answers at once, sometimes with an error or by closing the connection. */
+    private final class SyntheticHost extends SyntheticPeer {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             hosts.add(ctx.channel());
         }
 
         @Override
-        void exchanged(ChannelHandlerContext ctx) {
-            int fault = served++ % FAULT_EVERY;
+        void messageRead(ChannelHandlerContext ctx) {
+            int fault = answerCount++ % ANSWERS_PER_FAULT_CYCLE;
             ByteBuf answer = ANSWERS.get(Math.min(fault, ANSWERS.size() - 1)).retainedDuplicate();
-            if (fault == LAST_ANSWER) {
+            if (fault == CLOSING_ANSWER) {
                 ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
             } else {
                 ctx.writeAndFlush(answer, ctx.voidPromise());
--- a/gateway/src/test/java/marlford/gateway/net/ClientDepartureCountersTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ClientDepartureCountersTest.java
@@ -4,18 +4,19 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Counters of clients that disconnected before they were answered. */
 class ClientDepartureCountersTest {
     @Test
-    void onlyWhatIsSentOnLongAfterItsClientLeftIsCountedAsSuch() {
-        ClientDepartureCounters l = new ClientDepartureCounters();
-        l.left(false);
-        l.left(false);
-        l.left(true);
-        l.sent(Double.NEGATIVE_INFINITY); // its client is there
-        l.sent(ClientDepartureCounters.SOON_MS);
-        assertEquals(" left_waiting=2 left_served=1", l.take());
-        l.sent(ClientDepartureCounters.SOON_MS + 1);
-        assertEquals(" sent_for_left=1", l.take());
-        assertEquals("", l.take());
+    void countsAttemptsSentLaterThanTheGraceTimeAfterTheDisconnect() {
+        ClientDepartureCounters counters = new ClientDepartureCounters();
+        counters.recordDisconnect(false);
+        counters.recordDisconnect(false);
+        counters.recordDisconnect(true);
+        counters.recordSend(Double.NEGATIVE_INFINITY); // the client is still connected
+        counters.recordSend(ClientDepartureCounters.SEND_GRACE_MS);
+        assertEquals(" left_waiting=2 left_served=1", counters.takeCounts());
+        counters.recordSend(ClientDepartureCounters.SEND_GRACE_MS + 1);
+        assertEquals(" sent_for_left=1", counters.takeCounts());
+        assertEquals("", counters.takeCounts());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/EventLogTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EventLogTest.java
@@ -8,26 +8,26 @@
 import marlford.gateway.EngineApi.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Each end has its reason: in the counts of a second, and in a line with the request's id. */
+/** Each event is counted by its reason and, in a traced process, written as a line with the request id. */
 class EventLogTest {
     @Test
-    void countsByReasonAndBeginsAnew() {
+    void countsByReasonAndResetsTheCounts() {
         EventLog log = new EventLog(MovedClock.standing(), null);
         log.closed(1, CloseReason.IDLE, null);
         log.closed(2, CloseReason.IDLE, null);
         log.closed(3, CloseReason.STALLED_REQUEST, null);
         log.refused("a", EventLog.Refusal.ENDING);
-        log.attempted("a", 0, "h0");
-        log.attempted("a", 1, "h1");
-        assertEquals(" closed_idle=2 closed_stalled_request=1 refused_ending=1 retried=1", log.take());
-        assertEquals("", log.take());
+        log.attemptStarted("a", 0, "h0");
+        log.attemptStarted("a", 1, "h1");
+        assertEquals(" closed_idle=2 closed_stalled_request=1 refused_ending=1 retried=1", log.takeCounts());
+        assertEquals("", log.takeCounts());
     }
 
     @Test
-    void aTracedProcessSaysEachEventWithItsRequest() {
+    void tracedProcessWritesEachEventWithItsRequestId() {
         List<String> lines = new ArrayList<>();
         EventLog log = new EventLog(MovedClock.standing(), lines::add);
-        log.taken(7, "a");
+        log.requestReceived(7, "a");
         log.attemptEnded("a", 1, Outcome.RESET);
         log.closed(7, CloseReason.BY_CLIENT, "a");
         assertEquals(3, lines.size());
--- a/gateway/src/test/java/marlford/gateway/net/JsonTreeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/JsonTreeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The tree is the one that the library's mapper makes. */
+/** JsonTree must build the same trees as the object mapper of the library. */
 class JsonTreeTest {
     private static JsonNode read(String text) throws IOException {
         return JsonTree.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
@@ -22,23 +22,23 @@
     @ParameterizedTest
     @ValueSource(strings = {"{}", "[]", "[[], {}, [1, -2.5e3, 18446744073709551616], \"\\u00e9\\n\"]", "null", "7",
         "{\"a\": {\"b\": [true, false, null]}, \"a\": \"the last one stands\"}"})
-    void readsWhatTheMapperReads(String text) throws IOException {
+    void readsTheSameTreeAsTheObjectMapper(String text) throws IOException {
         assertEquals(new ObjectMapper().readTree(text).toString(), read(text).toString());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1", "{\"a\"", "{\"a\":", "{\"a\": 1,}", "]", "nope"})
-    void refusesWhatIsNoJson(String text) {
+    void rejectsInvalidJson(String text) {
         assertThrows(IOException.class, () -> read(text));
     }
 
     @Test
-    void nothingIsAMissingNode() throws IOException {
+    void emptyTextIsAMissingNode() throws IOException {
         assertTrue(read(" ").isMissingNode());
     }
 
     @Test
-    void depthIsBounded() {
+    void rejectsTooDeepNesting() {
         assertThrows(IOException.class, () -> read("[".repeat(100_000)));
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/WarmUpTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/WarmUpTest.java
@@ -13,48 +13,48 @@
 import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** The made-up clients before the first real one. */
+/** The warm-up with synthetic clients before a node accepts real ones. */
 class WarmUpTest extends SocketTest {
-    private static final int FEW = 200;
+    private static final int ANSWERS = 200;
 
     private static NodeConfig config() throws Exception {
         return NodeConfig.of(new ObjectMapper().readTree(Sockets.config("127.0.0.1:1", "127.0.0.1:0")));
     }
 
-    private static Set<String> loops() {
+    private static Set<String> eventLoopThreads() {
         return Thread.getAllStackTraces().keySet().stream().map(Thread::getName)
                 .filter(n -> n.startsWith("nioEventLoopGroup")).collect(Collectors.toSet());
     }
 
-    /** Every request is answered, whatever goes wrong among its hosts, and nothing of it runs on. */
+    /** Every synthetic request is answered despite the simulated host faults, and no event loop keeps running. */
     @Test
-    void answersAllAndLeavesNothingBehind() throws Exception {
-        Set<String> before = loops();
-        assertEquals(FEW, WarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false));
+    void answersEveryRequestAndStopsItsEventLoops() throws Exception {
+        Set<String> before = eventLoopThreads();
+        assertEquals(ANSWERS, WarmUp.run(config(), ANSWERS, Sockets.PATIENCE_MS, () -> false));
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (!before.containsAll(loops())) {
-            assertTrue(System.nanoTime() < end, "runs on");
+        while (!before.containsAll(eventLoopThreads())) {
+            assertTrue(System.nanoTime() < end, "an event loop of the warm-up is still running");
             Thread.sleep(5);
         }
     }
 
-    /** A fleet that serves does not wait for a whole warm-up, only until each path of a request was gone once. */
+    /** When other gateways serve, a restart waits only until each code path of a request has run once. */
     @Test
-    void aReturnWaitsForAFewAnswersOnly() throws Exception {
+    void restartInAServingFleetEndsTheWarmUpEarly() throws Exception {
         int answers = WarmUp.run(config(), Integer.MAX_VALUE, Sockets.PATIENCE_MS, () -> true);
-        assertTrue(answers >= WarmUp.RETURNED, answers + " answers");
+        assertTrue(answers >= WarmUp.RESTART_ANSWERS, answers + " answers, expected at least the number for a restart");
     }
 
-    /** What it did to quotas, hosts and bounds was done to other modules: the first real customer finds all new. */
     @Test
-    void aReturnAmongManyWaitsForFewer() {
-        assertEquals(WarmUp.RETURNED, WarmUp.returned(3));
-        assertEquals(WarmUp.RETURNED_AMONG_MANY, WarmUp.returned(14));
+    void restartInALargeTierWaitsForFewerAnswers() {
+        assertEquals(WarmUp.RESTART_ANSWERS, WarmUp.restartAnswers(3));
+        assertEquals(WarmUp.RESTART_ANSWERS_LARGE_TIER, WarmUp.restartAnswers(14));
     }
 
+    /** The warm-up uses its own decision engines, so it changes no quotas, hosts or limits of the real node. */
     @Test
-    void leavesTheRealNodeAsItWas() throws Exception {
-        WarmUp.run(config(), FEW, Sockets.PATIENCE_MS, () -> false);
+    void leavesTheRealNodeUnchanged() throws Exception {
+        WarmUp.run(config(), ANSWERS, Sockets.PATIENCE_MS, () -> false);
         Server host = host(SocketTest::echo);
         Client client = client(nodeBefore(host));
         Message answer = client.send(view("r1", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny")
