--- a/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
+++ b/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
@@ -156,7 +156,7 @@
             }
         } catch (NodeConfig.BadConfig | RuntimeException e) {
             if (!invalid || hangup || changed) {
-                Node.log("deckfall: the settings stay as they were, the new configuration is invalid: " + e.getMessage());
+                Node.log("deckfall: the settings stay as they were, the new file can't be used: " + e.getMessage());
             }
             invalid = true;
         }
--- a/gateway/src/main/java/marlford/gateway/net/EventLog.java
+++ b/gateway/src/main/java/marlford/gateway/net/EventLog.java
@@ -20,7 +20,7 @@
         ENDING,
         /** The decision engine refused it. */
         DECIDED,
-        /** It was held without an attempt until its time ran out or the presence of its client could not be determined. */
+        /** It was held without an attempt when the process stopped sending, or its client could not be seen to be connected. */
         NEVER_SENT
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -340,7 +340,7 @@
     /**
      * Returns the steps that a successor process requests of this one during an upgrade.
      *
-     * @param exit runs once the successor serves clients
+     * @param exit runs once the successor has shown that it serves clients
      */
     Successor.Place place(Runnable exit) {
         return new Successor.Place() {
