--- a/gateway/src/main/java/marlford/gateway/DecisionEngine.java
+++ b/gateway/src/main/java/marlford/gateway/DecisionEngine.java
@@ -13,152 +13,260 @@
 import marlford.gateway.quota.*;
 
 /**
- * Every decision of one gateway: admission, release, weights, host choice, health, tells and the rule guards.
- * Its interface (events, actions, settings) is EngineApi.java, beside this file.
+ * The decision engine of one gateway: admission by quotas and ceilings, release of queued requests, weights
+ * of request classes, host choice, host health, retries and the messages between gateways. Its interface
+ * (events, actions, settings) is EngineApi.java, its state EngineState.java, beside this file.
+ *
+ * <p>Comments refer to five rules that hold whatever else happens: (1) each request is answered before its
+ * deadline; (2) a request that may have run is repeated only where its class allows that; (3) a host that
+ * drains or is gone gets no new request; (4) a host that warms up gets at most a set multiple of what it can
+ * serve; (5) a customer's ceiling is never exceeded by all gateways together.
+ *
+ * <p>How gateways share a customer's quota depends on the size of the tier. A small tier queries the
+ * customer's ledger replicas ({@link LedgerMessage}). Where these would get too many messages, gateways
+ * broadcast their use ({@link GossipScheduler}). Where even broadcasts are too many, {@link QuotaCoordinator}
+ * decides.
+ *
+ * <p>Deterministic: the time, the random seed and all input come from events. Not thread-safe; it belongs to
+ * one event loop.
  */
 public final class DecisionEngine implements EngineApi.Events {
-    // Housekeeping
-    private static final double TICK_MS = 20; // held requests expire and tells leave on this beat
-    private static final double SWEEP_MS = 5000; // how often customers and hosts long gone are forgotten
-    private static final int CUSTOMERS_MAX = 20_000; // books kept; a new customer beyond them is refused
-    // Admission by parts
-    private static final double DEMAND_MS = 2000; // averaging of demand: longer than gaps between requests
-    private static final double EVEN_PRIOR = 0.05; // of the rate, added to a set's demand: all have a part
-    private static final double FRESH_MS = 1000; // a keeper's word this old no longer lets in without asking
-    private static final double RELAX_MS = 3000; // and from here on the part is the even one
-    private static final double LAG_MS = 60; // a told figure's age on arrival: half a gap and the way
-    private static final double WARY = 0.6; // of the rate: what others may use unseen beside their demand
-    // Keepers and tells
-    private static final double RETRY_MIN_MS = TICK_MS; // shortest wait that a refusal tells
-    private static final int KEEPERS = 2; // gateways of a set that keep its books: one may be down
-    private static final double ANSWER_MS = 150; // a due answer is missing after so long
-    private static final double SILENT_MS = 1000; // a peer that missed an answer is not asked so long
-    private static final double MAIL_SHARE = 0.8; // share of the intake that is used: bursts fit in the rest
-    private static final double MAIL_BURST_MS = 150; // time's worth of mail that may leave at once
-    private static final double GAP_MAX_MS = 50; // longest of the shortest gaps between messages to a peer
-    private static final double SYNC_MS = 300; // how often a keeper tells the other keeper of a customer
-    private static final int TELL_BYTES = 256; // largest message
-    private static final double OWNER_SHARE = 0.5; // of a ceiling, held by the first keeper; the rest evenly
-    private static final double LEASED = 0.5; // of that: the second keeper's while the first is not heard
-    private static final double PULSE_MS = 300; // a word is due so often between keepers of ceilings
-    private static final double PULSE_SHARE = 0.15; // of the intake for such words: more peers, rarer words
-    private static final int TERM_PULSES = 4; // a lease outlives so many words less one that are lost
-    private static final double TERMS_APART_MS = 250; // between the end of a lease and its taking over
-    // A tier too large for questions
-    private static final int GIVERS = 2; // asked at once for units of a ceiling
-    private static final double KEPT = 0.5; // of its share, that a gateway gives to nobody
-    private static final int WISHES_MAX = 64; // wants of peers that wait for an answer; further ones get none
-    // Release
-    private static final double CHANCE = 0.7; // places beyond the even ones, in roots of them: for bursts
-    private static final double BOUND_START = 6; // attempts out a host at first, by all gateways
-    private static final double BOUND_MIN = 3; // never fewer by all gateways, or cores would idle
-    private static final double BOUND_MAX = 128; // by all gateways: beyond this no host gains
-    private static final double BOUND_UP = 1.15; // growth a beat while requests wait on fast hosts
-    private static final double BOUND_DOWN = 0.85; // cut a beat while latency is stretched
-    private static final double BOUND_BEAT_MS = 250; // how often the bound moves
-    private static final int BOUND_ANSWERS = 8; // answers to move it by, or so many beats
-    private static final double BASE_DRIFT = 1.002; // growth a beat, so that a lasting change is accepted
-    private static final int BASE_SAMPLES = 20; // answers before the base is held
-    private static final double STRETCHED = 1.7; // latency over its base that counts as queueing at the hosts
-    private static final double AIM_USED = 0.1; // below this share of the aim latency does no harm
-    private static final double LATE_WORTH_KEPT = 0.5; // late worth from which a late answer merits a place
-    private static final double FINISH_SHARE = 3; // expected times a held request must still have
-    private static final double HOLD_SHARE = 0.1; // share of the aim for which any request may be held
-    private static final double AIM_LOST = 0.5; // mean share of the aim that is queueing for sure
-    private static final double GAP_GAIN = 0.1; // weight of one release in the mean gap of releases
-    private static final double FIRST_GUESS = 0.2; // of the aim: the largest request, before any answer
-    private static final int SCAN = 16; // held requests passed over for want of a legal host, a turn
-    // Weights: the paper's alpha, beta, epsilon
-    private static final double ALPHA = 0.7; // weight of the old delay average
-    private static final double BETA = 0.5; // share of a computed donation that is committed
-    private static final double EPSILON = 0.1; // half-width of the band in which a class is content
-    private static final double DELAY_GOAL = 0.6; // share of the aim that a class's mean delay may take
-    private static final double WEIGHT_TICK_MS = 500; // delay averaging beat
-    private static final double WEIGHT_GAP_MS = 1000; // first interval between donations; doubles after one
-    private static final double WEIGHT_GAP_MAX_MS = 8000; // longest such interval
-    private static final double WEIGHT_STEP = 0.05; // first step, before a slope is known, of all weight
-    private static final double WEIGHT_MIN = 0.02; // least weight, as share of all
-    // Hosts
-    private static final double SLOW_GAIN = 0.12; // weight of one answer in a host's slowness
-    private static final double FAILED_GAIN = 0.4; // weight of a failure or of an overdue attempt
-    private static final double BAD_ANSWER = 4; // slowness of a full host, and of one tried before
-    private static final double OWN_SHARE = 0.2; // of an attempt's time; a longer own stall hides the host's
-    private static final double SLOW_FADE_MS = 6000; // slowness not confirmed fades: a trial by itself
-    private static final double TROUBLED = 2.2; // slowness from which a host is worse than chance makes it
-    private static final double SILENT_AFTER = 5; // expected times, and
-    private static final double QUIET_MS = 400; // so much, after which it is overdue
-    private static final double ZONE_COST = 0.05; // crossing zones, as share of the score of an idle host
-    private static final double COLD_SAFETY = 0.7; // of a cold host's allowance: bursts fit in the rest
-    private static final double SERVED_MIN = 0.5; // of the hosts in use: fewer are not believed to serve
-    private static final double COLD_CORES = 2; // of a host at least; the smallest known have three
-    private static final int HOMES = 8; // hosts a gateway keeps to, while they serve; more
-    private static final int HOST_GATEWAYS = 6; // where a host would have fewer gateways than this
-    private static final int DRAWS = 2; // hosts compared at least; more where own counts can tell them apart
-    private static final double SURVEY_MS = 500; // how often the hosts are counted
-    private static final double RETRY_SHARE = 0.2; // further attempts earned by each first one
-    private static final double RETRY_MAX = 20; // most further attempts saved up
-    private static final double WINDOW_SHARE = 0.9; // of a key's window: the rest covers the way to the host
-    private static final double DEADLINE_MS = 40; // refuse or fail this long before a deadline: two beats
-    private static final double UNSENT_SHARE = 0.4; // of its time: then what never left is decided
-
-    private final Actions act;
-    private final Map<String, ClassState> classes = new LinkedHashMap<>();
-    private final Map<String, Integer> planNumbers = new LinkedHashMap<>();
-    private final Map<Long, Customer> customers = new LinkedHashMap<>();
-    private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final Map<String, Ask> asks = new LinkedHashMap<>();
-    private final ArrayDeque<Peer> outbox = new ArrayDeque<>();
-    private final LinkedHashSet<Ask> questions = new LinkedHashSet<>();
-    private final LinkedHashSet<Server> watched = new LinkedHashSet<>();
-    private final List<Server> usable = new ArrayList<>();
-    private final List<Server> homes = new ArrayList<>();
-    private Peer[] peers = new Peer[0];
-    private Settings set;
-    private HostStarts starts;
+    // ---- periodic work
+
+    private static final double TICK_MS = 20;
+    private static final double EVICTION_INTERVAL_MS = 5000; // of idle customers and unlisted hosts
+    /** Customers with state in memory. Requests of any further customer are refused. */
+    private static final int MAX_TRACKED_CUSTOMERS = 20_000;
+
+    // ---- admission by shares of a quota
+
+    /** Time constant of demand averages: longer than the usual gap between a customer's requests. */
+    private static final double DEMAND_WINDOW_MS = 2000;
+    /** Demand added in equal parts, as a share of the rate, so that each gateway gets some of a quota. */
+    private static final double EVEN_DEMAND_SHARE = 0.05;
+    /** With an older report, admission needs a query to a ledger replica. */
+    private static final double FRESH_REPORT_MS = 1000;
+    /** With an older report, each gateway has an equal share. Also the delay after failed discovery. */
+    private static final double STALE_REPORT_MS = 3000;
+    /** Age of a report on arrival: half of the gap between two reports, and the transit. */
+    private static final double REPORT_LAG_MS = 60;
+    /** Use beyond their reported demand that other gateways are assumed to have, as a share of the rate. */
+    private static final double UNREPORTED_USE_SHARE = 0.6;
+    private static final double MIN_RETRY_AFTER_MS = TICK_MS;
+
+    // ---- ledger replicas and messages between gateways
+
+    /** Gateways that keep a customer's ledger. One of them may be down. */
+    private static final int LEDGER_REPLICAS = 2;
+    private static final double REPLY_TIMEOUT_MS = 150;
+    /** After a missed reply a peer is not queried for this time. */
+    private static final double UNRESPONSIVE_PEER_PAUSE_MS = 1000;
+    /** Share that is used of the messages per second that a gateway accepts. The rest is left for bursts. */
+    private static final double MESSAGE_BUDGET_SHARE = 0.8;
+    /** The message budget of this time may be spent at once. */
+    private static final double MESSAGE_BURST_MS = 150;
+    /** The minimum gap between messages to one peer grows with the tier up to this value. */
+    private static final double MAX_PEER_GAP_MS = 50;
+    /** Interval of the reports with which the acting replica of a customer updates the other one. */
+    private static final double REPLICA_SYNC_MS = 300;
+    private static final int MAX_LEDGER_MESSAGE_BYTES = 256;
+
+    // ---- shares of a ceiling, and their leases
+
+    /** The primary replica's share of a ceiling. All gateways of the set split the rest evenly. */
+    private static final double PRIMARY_CEILING_SHARE = 0.5;
+    /** Part of the primary's share that the backup takes over while it does not hear from the primary. */
+    private static final double LEASED_PRIMARY_SHARE = 0.5;
+    /** Shortest interval of heartbeats between gateways that share a ceiling by lease. */
+    private static final double MIN_HEARTBEAT_MS = 300;
+    /** Share of the accepted messages per second for heartbeats. With more peers their interval grows. */
+    private static final double HEARTBEAT_BUDGET_SHARE = 0.15;
+    /** A lease lasts for this number of heartbeat intervals, so it outlives the loss of three heartbeats. */
+    private static final int LEASE_HEARTBEATS = 4;
+    /** Time between the end of a lease at its holder and its takeover by the other gateway. */
+    private static final double LEASE_TAKEOVER_MARGIN_MS = 250;
+    /** Gateways that are asked at once for ceiling units, in a tier that is too large for queries. */
+    private static final int LENDERS_PER_TRANSFER = 2;
+    /** Part of its share of a ceiling that a gateway does not lend to others. */
+    private static final double MIN_KEPT_CEILING_SHARE = 0.5;
+    /** Transfer requests of peers that may wait for an answer. Further ones are dropped. */
+    private static final int MAX_TRANSFER_REQUESTS = 64;
+
+    // ---- release of queued requests
+
+    /** Slots for random bursts beyond a gateway's even share, as a multiple of that share's square root. */
+    private static final double BURST_SLOTS_PER_ROOT = 0.7;
+    /** Attempts in flight that a host gets at first, from all gateways together. */
+    private static final double INITIAL_SLOTS_PER_HOST = 6;
+    /** With fewer attempts in flight, cores of a host would idle. */
+    private static final double MIN_SLOTS_PER_HOST = 3;
+    /** With more attempts in flight, no host gains throughput. */
+    private static final double MAX_SLOTS_PER_HOST = 128;
+    /** Growth of the slots per host at each adaptation while requests wait and the hosts are fast. */
+    private static final double SLOT_GROWTH_FACTOR = 1.15;
+    /** Cut of the slots per host at each adaptation while requests queue at the hosts. */
+    private static final double SLOT_CUT_FACTOR = 0.85;
+    private static final double SLOT_ADAPTATION_MS = 250;
+    /** Answers that an adaptation needs. With fewer it waits, for as many intervals as that at most. */
+    private static final int MIN_ADAPTATION_SAMPLES = 8;
+    /** Growth of the latency baseline at each adaptation, so that a lasting change is accepted in time. */
+    private static final double BASELINE_GROWTH = 1.002;
+    /** Until a class has that many answers, its baseline equals its average. */
+    private static final int MIN_BASELINE_SAMPLES = 20;
+    /** From this ratio of latency to baseline on, requests are taken to queue at the hosts. */
+    private static final double QUEUEING_LATENCY_FACTOR = 1.7;
+    /** Below this share of the latency goal, a raised latency does no harm. */
+    private static final double HARMLESS_GOAL_SHARE = 0.1;
+    /** From this share of the latency goal on, a mean latency always means queueing. */
+    private static final double QUEUEING_GOAL_SHARE = 0.5;
+    /** From this late value of a class on, an answer after its goal is still worth a slot. */
+    private static final double MIN_LATE_VALUE = 0.5;
+    /** A queued request must have this multiple of its expected latency left. */
+    private static final double FINISH_TIME_FACTOR = 3;
+    /** Any request may be queued for this share of its latency goal. */
+    private static final double MIN_HOLD_GOAL_SHARE = 0.1;
+    /** Weight of one release in a class's average gap between releases. */
+    private static final double RELEASE_GAP_SAMPLE_WEIGHT = 0.1;
+    /** Expected latency of the largest request before any answer, as a share of the latency goal. */
+    private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2;
+    /** Queued requests that a release examines for one with a permitted host; draws for each host. */
+    private static final int SCAN_LIMIT = 16;
+
+    // ---- class weights by donation; ALPHA, BETA and EPSILON are the symbols of the published method
+
+    /** ALPHA: weight of the old average in a new delay average. */
+    private static final double DELAY_SMOOTHING_OLD_WEIGHT = 0.7;
+    /** BETA: share of a computed donation that is carried out. */
+    private static final double COMMITTED_DONATION_SHARE = 0.5;
+    /** EPSILON: half-width, as a share of the delay goal, of the band in which a class is content. */
+    private static final double CONTENT_BAND_HALF_WIDTH = 0.1;
+    /** A class's goal for its mean delay, as a share of its latency goal. */
+    private static final double DELAY_GOAL_SHARE = 0.6;
+    private static final double DELAY_AVERAGING_INTERVAL_MS = 500;
+    /** First interval between donations. It doubles after each donation. */
+    private static final double MIN_DONATION_INTERVAL_MS = 1000;
+    private static final double MAX_DONATION_INTERVAL_MS = 8000;
+    /** Donation, as a share of all weight, while the slope of a class is not known. */
+    private static final double INITIAL_WEIGHT_STEP = 0.05;
+    private static final double MIN_CLASS_WEIGHT = 0.02; // as a share of all weight
+
+    // ---- host health and choice
+
+    /** Weight of one answer's latency in a host's slowness. */
+    private static final double LATENCY_SAMPLE_WEIGHT = 0.12;
+    /** Weight of a failure or of an overdue attempt in a host's slowness. */
+    private static final double FAILURE_SAMPLE_WEIGHT = 0.4;
+    /** Slowness of a host that reports to be full, and factor for a host that a request has tried. */
+    private static final double FULL_HOST_SLOWNESS = 4;
+    /** Share of an attempt's latency. A longer stall of this process hides the host's own latency. */
+    private static final double MAX_OWN_STALL_SHARE = 0.2;
+    /** Time constant with which unconfirmed slowness decays, so that a bad host is tried again. */
+    private static final double SLOWNESS_FADE_MS = 6000;
+    /** From this slowness on, a host is slower than chance explains. */
+    private static final double TROUBLED_SLOWNESS = 2.2;
+    /** An attempt is overdue after this multiple of its expected latency, plus the margin below. */
+    private static final double OVERDUE_LATENCY_FACTOR = 5;
+    private static final double OVERDUE_MARGIN_MS = 400;
+    /** Cost of crossing zones, as a share of the score of an idle host. */
+    private static final double CROSS_ZONE_COST_SHARE = 0.05;
+    /** Share that is used of what a cold host may get. The rest is left for bursts. */
+    private static final double COLD_HOST_SAFETY_SHARE = 0.7;
+    /** Lower limit of the estimated share of the usable hosts that serve; less is not believed. */
+    private static final double MIN_SERVING_SHARE = 0.5;
+    /** Cores that a cold host has at least. The smallest known host has three. */
+    private static final double MIN_CORES_PER_HOST = 2;
+    /** Hosts that a gateway prefers while they serve; more if a host would get too few gateways. */
+    private static final int MIN_PREFERRED_HOSTS = 8;
+    private static final int MIN_GATEWAYS_PER_HOST = 6;
+    /** Hosts that are compared at least; more where the own attempts in flight can tell them apart. */
+    private static final int MIN_COMPARED_HOSTS = 2;
+    private static final double HOST_SURVEY_INTERVAL_MS = 500;
+
+    // ---- retries and deadlines
+
+    /** Further attempts that each first attempt earns. */
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.2;
+    private static final double MAX_RETRY_TOKENS = 20;
+    /** Share that is used of an idempotency window. The rest covers the transit to the host. */
+    private static final double KEY_WINDOW_SHARE = 0.9;
+    /** A request is answered this long before its deadline: two ticks. */
+    private static final double DEADLINE_MARGIN_MS = 40;
+    /** A request that has reached no host after this share of its time is refused. */
+    private static final double UNSENT_TIME_SHARE = 0.4;
+
+    private final Actions actions;
+    private final Map<String, ClassState> classes = new LinkedHashMap<>(); // by name
+    private final Map<String, Integer> planNumbers = new LinkedHashMap<>(); // by name
+    private final Map<Long, Customer> customers = new LinkedHashMap<>(); // by id
+    private final Map<String, HostRecord> hostsById = new LinkedHashMap<>();
+    private final Map<String, ActiveRequest> activeRequests = new LinkedHashMap<>(); // by id
+    private final ArrayDeque<Peer> sendQueue = new ArrayDeque<>(); // peers with reports or replies due
+    private final LinkedHashSet<ActiveRequest> pendingQueries = new LinkedHashSet<>();
+    private final LinkedHashSet<HostRecord> busyHosts = new LinkedHashSet<>(); // with attempts in flight
+    private final List<HostRecord> usableHosts = new ArrayList<>(); // as of the last survey
+    private final List<HostRecord> preferredHosts = new ArrayList<>(); // subset of the usable ones
+    private Peer[] peers = new Peer[0]; // by gateway number; includes this gateway
+    private Settings settings;
+    private HostStarts hostStarts;
     private TwoPartyLeases leases;
-    private double pulse; // milliseconds between words of one keeper to another
-    private final ActivityCounters account = new ActivityCounters();
+    private double heartbeatMs; // interval between messages of gateways that share a ceiling by lease
+    private final ActivityCounters counters = new ActivityCounters();
     private Random random;
-    private GossipScheduler rounds; // null where keepers are asked
-    private QuotaCoordinator exchange; // null but where the tier is too large for rounds as well
-    private final ArrayDeque<Wish> wishes = new ArrayDeque<>();
-    private double roundHeardAt = NEVER;
-    private int epoch, roundsTold;
-    private double fillsSince; // the last life of this gateway spent its ceilings until then
-    private double startedAt, beatAt, stalled, boundAt, sweptAt, delayAt, donateAt, mailAt, surveyedAt;
-    private double mail, donateGap = WEIGHT_GAP_MS;
-    private double replacedAt = Double.POSITIVE_INFINITY; // since when another process serves in this place
-    private boolean waited;
-    private int inFlight, answers;
-    private double perHost = BOUND_START, capacity, turn;
-    private double retryTokens = RETRY_MAX / 2;
-    private double latencySum, baseSum, aimShareSum;
-
-    public DecisionEngine(Actions act) {
-        this.act = act;
-    }
-
-    /** Quotas where hundreds of gateways share them. */
-    private QuotaCoordinator exchange(double now) {
-        List<QuotaTerms> plans = set.plans().stream().map(p -> new QuotaTerms(p.excessPays() ? 0 : p.rate(),
-                p.burst(), p.ceilingRate(), p.ceilingBurst())).toList();
-        return new QuotaCoordinator(now, new QuotaCoordinator.Config(set.me(), peers.length,
-                set.sharing().mailPerSecond(), set.sharing().maxUnits(), CUSTOMERS_MAX, plans),
-                epoch, random, new QuotaCoordinator.Link() {
+    private GossipScheduler gossip; // null unless gateways broadcast their use
+    private QuotaCoordinator coordinator; // null unless the tier is too large for broadcasts as well
+    private final ArrayDeque<CeilingTransferRequest> transferRequests = new ArrayDeque<>();
+    private double broadcastReceivedAt = NEVER; // the last one, from any peer
+    private int incarnation; // start time of this process in milliseconds, lowest 32 bits
+    private int broadcastsSent;
+    private double ceilingFillsSince; // an earlier incarnation may have spent what had filled before
+    private double startedAt;
+    private double lastTickAt;
+    private double totalStallMs; // of this process's event loop
+    private double slotsAdaptedAt;
+    private double evictedAt;
+    private double delaysAveragedAt;
+    private double lastDonationAt;
+    private double budgetRefilledAt;
+    private double surveyedAt;
+    private double messageBudget; // messages that may be sent now
+    private double donationIntervalMs = MIN_DONATION_INTERVAL_MS;
+    private double replacedAt = Double.POSITIVE_INFINITY; // when another process took over this one's place
+    private boolean requestsWaited; // for a slot, since the last check of the weights
+    private int attemptsInFlight; // those that hold a slot
+    private int latencySamples; // since the last adaptation of the slots, as are the three sums below
+    private double slotsPerHost = INITIAL_SLOTS_PER_HOST; // of all gateways together
+    private double warmCapacity; // usable hosts; cold ones count as the share that they can serve
+    private double virtualTime; // of the fair queueing between classes
+    private double retryTokens = MAX_RETRY_TOKENS / 2;
+    private double latencySumMs;
+    private double baselineSumMs;
+    private double goalShareSum; // of latencies divided by latency goals
+
+    public DecisionEngine(Actions actions) {
+        this.actions = actions;
+    }
+
+    /** Creates the coordinator of quotas for a tier of hundreds of gateways. */
+    private QuotaCoordinator newCoordinator(double now) {
+        List<QuotaTerms> plans = settings.plans().stream().map(p -> new QuotaTerms(
+                p.excessPays() ? 0 : p.rate(), p.burst(), p.ceilingRate(), p.ceilingBurst())).toList();
+        return new QuotaCoordinator(now, new QuotaCoordinator.Config(settings.me(), peers.length,
+                settings.sharing().mailPerSecond(), settings.sharing().maxUnits(), MAX_TRACKED_CUSTOMERS,
+                plans), incarnation, random, new QuotaCoordinator.Link() {
             @Override public void tell(int peer, byte[] data) {
-                account.note(Item.TOLD);
-                act.sendToPeer(peer, data);
+                counters.note(Item.TOLD);
+                actions.sendToPeer(peer, data);
             }
 
-            @Override public void decided(double at, String id, QuotaCoordinator.Decision d) {
-                Ask ask = asks.get(id);
-                ask.grant = d.grant();
-                ask.leaveBy = d.leaveBy();
-                if (d.in()) letIn(at, ask);
-                if (d.in()) return;
-                account.note(Item.of(d.why()));
-                close(ask);
-                act.refuse(id, waitTold(d.retryMs()));
+            @Override public void decided(double at, String id, QuotaCoordinator.Decision decision) {
+                ActiveRequest active = activeRequests.get(id);
+                active.grant = decision.grant();
+                active.sendBy = decision.leaveBy();
+                if (decision.in()) admit(at, active);
+                if (decision.in()) return;
+                counters.note(Item.of(decision.why()));
+                close(active);
+                actions.refuse(id, retryAfterMs(decision.retryMs()));
             }
         });
     }
@@ -166,1135 +274,1330 @@
     // ---- events
 
     @Override public void onStart(double now, Settings settings) {
-        set = settings;
+        this.settings = settings;
         random = new Random(settings.seed());
-        startedAt = fillsSince = now;
-        starts = new HostStarts(settings.rules().warmWithinMs());
+        startedAt = ceilingFillsSince = now;
+        hostStarts = new HostStarts(settings.rules().warmWithinMs());
         peers = new Peer[Math.max(1, settings.gateways())];
         Arrays.setAll(peers, Peer::new);
-        double pulses = PULSE_SHARE * Math.max(1, settings.sharing().mailPerSecond()) / 1000;
-        pulse = Math.max(PULSE_MS, (peers.length - 1) / pulses);
-        double gap = (peers.length - 1) / mailRate();
-        beginLife(now);
-        boolean hundreds = QuotaCoordinator.isFor(peers.length, settings.sharing().mailPerSecond());
-        if (settings.limits().peers() && hundreds) exchange = exchange(now);
-        else if (settings.limits().peers() && gap > ANSWER_MS) {
-            rounds = new GossipScheduler(now, gap, CUSTOMERS_MAX, random);
+        double heartbeatsPerMs =
+                HEARTBEAT_BUDGET_SHARE * Math.max(1, settings.sharing().mailPerSecond()) / 1000;
+        heartbeatMs = Math.max(MIN_HEARTBEAT_MS, (peers.length - 1) / heartbeatsPerMs);
+        double broadcastGapMs = (peers.length - 1) / messagesPerMs();
+        beginIncarnation(now);
+        boolean hundreds =
+                QuotaCoordinator.isFor(peers.length, settings.sharing().mailPerSecond());
+        if (settings.limits().peers() && hundreds) coordinator = newCoordinator(now);
+        else if (settings.limits().peers() && broadcastGapMs > REPLY_TIMEOUT_MS) {
+            gossip = new GossipScheduler(now, broadcastGapMs, MAX_TRACKED_CUSTOMERS, random);
         }
-        double worth = settings.classes().stream().mapToDouble(c -> Math.max(WEIGHT_MIN, c.worth())).sum();
+        double total =
+                settings.classes().stream().mapToDouble(c -> Math.max(MIN_CLASS_WEIGHT, c.worth())).sum();
         for (RequestClass c : settings.classes()) {
             ClassState state = new ClassState(c);
-            state.weight = Math.max(WEIGHT_MIN, c.worth()) / worth;
-            state.latencyPerUnit = state.base = c.aimMs() * FIRST_GUESS / settings.sharing().maxUnits();
+            state.weight = Math.max(MIN_CLASS_WEIGHT, c.worth()) / total;
+            state.latencyMsPerUnit = state.baselineMsPerUnit =
+                    c.aimMs() * INITIAL_LATENCY_GOAL_SHARE / settings.sharing().maxUnits();
             classes.put(c.name(), state);
         }
         for (int i = 0; i < settings.plans().size(); i++) planNumbers.put(settings.plans().get(i).name(), i);
-        beatAt = boundAt = sweptAt = delayAt = donateAt = mailAt = surveyedAt = now;
-        if (settings.subscribe()) act.watchHosts();
-        act.startTimer(TICK_MS, "beat");
+        lastTickAt = slotsAdaptedAt = evictedAt = delaysAveragedAt =
+                lastDonationAt = budgetRefilledAt = surveyedAt = now;
+        if (settings.subscribe()) actions.watchHosts();
+        actions.startTimer(TICK_MS, "beat");
     }
 
     @Override public void onHosts(double now, ListKind kind, List<Host> hosts) {
-        if (kind == ListKind.FAILED) act.startTimer(RELAX_MS, "watch");
+        if (kind == ListKind.FAILED) actions.startTimer(STALE_REPORT_MS, "watch");
         if (kind == ListKind.FAILED) return;
-        if (kind != ListKind.CHANGES) servers.values().forEach(s -> s.listed = false);
-        starts.telling(hosts);
-        for (Host h : hosts) {
-            Server s = servers.computeIfAbsent(h.id(), id -> new Server(h));
-            s.info = h;
-            s.listed = h.state() != HostState.GONE;
-            if (h.startedMs() > 0 && h.startedMs() != s.toldStartMs) {
-                s.toldStartMs = h.startedMs();
-                s.coldAt = starts.latestStart(now, h.startedMs());
-                s.health.slow = 1;
+        if (kind != ListKind.CHANGES) hostsById.values().forEach(h -> h.listed = false);
+        hostStarts.telling(hosts);
+        for (Host info : hosts) {
+            HostRecord host = hostsById.computeIfAbsent(info.id(), id -> new HostRecord(info));
+            host.info = info;
+            host.listed = info.state() != HostState.GONE;
+            if (info.startedMs() > 0 && info.startedMs() != host.reportedStartMs) {
+                host.reportedStartMs = info.startedMs();
+                host.startedAt = hostStarts.latestStart(now, info.startedMs());
+                host.slowness.factor = 1;
             }
         }
-        starts.told(kind);
-        survey(now);
+        hostStarts.told(kind);
+        surveyHosts(now);
         release(now);
     }
 
-    @Override public void onRequest(double now, Request r) {
-        ClassState cls = classes.get(r.requestClass());
-        if (cls == null) act.refuse(r.id(), 0); // a class that the settings do not name cannot be judged
+    @Override public void onRequest(double now, Request request) {
+        ClassState cls = classes.get(request.requestClass());
+        if (cls == null) actions.refuse(request.id(), 0); // the settings do not define this class
         if (cls == null) return;
-        Integer plan = planNumbers.get(r.plan());
-        Customer c = plan == null ? null : customer(now, r.customer(), plan, r.first(), r.spread());
-        Ask ask = new Ask(r, cls, c);
-        asks.put(r.id(), ask);
-        // A stall of ours has used up its time: it is told so at once, before it costs others theirs. It
-        // also covers a crowd at a slow start, and could hurt where what was read is younger than the stall.
-        account.note(Item.TRIES);
-        if (r.arrivedMs() < now && now >= giveUpAt(ask)) {
-            account.note(Item.READ_LATE);
-            finish(ask);
+        Integer plan = planNumbers.get(request.plan());
+        Customer customer = plan == null ? null
+                : customer(now, request.customer(), plan, request.first(), request.spread());
+        ActiveRequest active = new ActiveRequest(request, cls, customer);
+        activeRequests.put(request.id(), active);
+        // A stall of this process has used up the request's time, so it is refused before it delays others.
+        // This also covers many clients at a slow start. It could hurt where requests are younger than the
+        // stall.
+        counters.note(Item.TRIES);
+        if (request.arrivedMs() < now && now >= giveUpAt(active)) {
+            counters.note(Item.READ_LATE);
+            answerUnserved(active);
             return;
         }
-        boolean stranger = plan != null && c == null; // there is no room for its books
-        switch (stranger ? Verdict.OUT : c == null ? Verdict.IN : judge(now, c, r.units())) {
-            case IN -> letIn(now, ask);
-            case OUT -> {
-                boolean spent = c == null || c.level < r.units();
-                boolean ceiling = !spent && c.plan.ceilingRate() > 0 && c.ceiling < r.units();
-                account.note(spent ? Item.QUOTA : ceiling ? Item.CEILING : Item.PART);
-                decide(now, ask, false);
+        boolean untracked = plan != null && customer == null; // there is no room for its state
+        switch (untracked ? Admission.REFUSE : customer == null ? Admission.ADMIT
+                : judgeAdmission(now, customer, request.units())) {
+            case ADMIT -> admit(now, active);
+            case REFUSE -> {
+                boolean spent = customer == null || customer.quotaLevel < request.units();
+                boolean ceiling = !spent && customer.plan.ceilingRate() > 0
+                        && customer.ceilingTokens < request.units();
+                counters.note(spent ? Item.QUOTA : ceiling ? Item.CEILING : Item.PART);
+                admitOrRefuse(now, active, false);
             }
-            // While this loop is late no answer would be heard in time, so the own part decides.
+            // While the event loop is late a reply would be read too late, so the own share decides.
             default -> {
-                if (exchange == null) question(now, ask, now - r.arrivedMs() < ANSWER_MS / 2 ? 0 : KEEPERS);
-                else exchange.want(now, r.id(), c.named(), r.units(), giveUpAt(ask));
+                if (coordinator == null) queryReplica(now, active,
+                        now - request.arrivedMs() < REPLY_TIMEOUT_MS / 2 ? 0 : LEDGER_REPLICAS);
+                else coordinator.want(now, request.id(), customer.named(), request.units(),
+                        giveUpAt(active));
             }
         }
-        if (c != null && ask.admitted) changed(now, c);
-        post(now);
-    }
-
-    private void letIn(double now, Ask ask) {
-        ClassState cls = ask.cls;
-        ask.admitted = true;
-        Customer c = ask.customer;
-        if (c != null) c.open++;
-        if (c != null) c.charge(ask.request.units(), ask.request.units(), DEMAND_MS);
-        if (cls.queue.isEmpty()) cls.turn = Math.max(cls.turn, turn);
-        cls.queue.addLast(ask);
+        if (customer != null && active.admitted) queueChange(now, customer);
+        sendDueMessages(now);
+    }
+
+    private void admit(double now, ActiveRequest active) {
+        ClassState cls = active.cls;
+        active.admitted = true;
+        Customer c = active.customer;
+        if (c != null) c.openRequests++;
+        if (c != null) c.charge(active.request.units(), active.request.units(), DEMAND_WINDOW_MS);
+        if (cls.queue.isEmpty()) cls.virtualTime = Math.max(cls.virtualTime, virtualTime);
+        cls.queue.addLast(active);
         release(now);
-        // What would wait beyond its use is refused at once, and what has no time left may not wait (rule 1).
-        boolean held = !ask.done && ask.attempts.isEmpty();
-        if (!held || now + cls.queue.size() * cls.releaseGap < giveUpAt(ask)) return;
-        account.note(Item.NO_PLACE);
-        finish(ask);
-    }
-
-    @Override public void onStreamStarted(double now, String id, int attempt) {
-        Ask ask = asks.get(id);
-        if (ask == null) return;
-        ask.streaming = true;
-        // A long answer has cost its host the work by now; what is left is the way to the client.
-        boolean known = attempt >= 0 && attempt < ask.attempts.size();
-        if (!known || ask.cls.spec.streaming()) return;
-        leavePlace(ask.attempts.get(attempt));
+        // A request whose expected wait exceeds its useful time is refused at once (rule 1).
+        boolean queued = !active.closed && active.attempts.isEmpty();
+        if (!queued || now + cls.queue.size() * cls.meanReleaseGapMs < giveUpAt(active)) return;
+        counters.note(Item.NO_PLACE);
+        answerUnserved(active);
+    }
+
+    @Override public void onStreamStarted(double now, String id, int number) {
+        ActiveRequest active = activeRequests.get(id);
+        if (active == null) return;
+        active.streaming = true;
+        // The host has done most of the work of a long response by now; what is left is the transfer.
+        boolean known = number >= 0 && number < active.attempts.size();
+        if (!known || active.cls.spec.streaming()) return;
+        freeSlot(active.attempts.get(number));
         release(now);
     }
 
-    /** From here on an attempt that is out takes nobody's place at its host. */
-    private void leavePlace(Attempt a) {
-        if (!a.placed) return;
-        a.placed = false;
-        inFlight--;
-        a.server.out.remove(a);
-        a.server.outWork = a.server.out.isEmpty() ? 0 : a.server.outWork - a.work;
-        if (a.server.out.isEmpty()) watched.remove(a.server);
-    }
-
-    @Override public void onAttemptEnded(double now, AttemptResult r) {
-        Ask ask = asks.get(r.id());
-        if (ask == null || r.attempt() < 0 || r.attempt() >= ask.attempts.size()) return;
-        Attempt a = ask.attempts.get(r.attempt());
-        if (!a.out) return;
-        a.out = false;
-        a.neverRan = r.outcome().neverRan();
-        a.unsent = a.neverRan && r.outcome() != Outcome.FULL;
-        leavePlace(a);
-        learn(now, ask, a, r);
-        if (r.closed()) {
-            close(ask);
-        } else if (!ask.done && !ask.anyOut()) {
-            if (mayTryAgain(now, ask) && r.outcome() != Outcome.MOOT) ask.cls.queue.addFirst(ask);
-            else {
-                account.note(Item.TRIED);
-                finish(ask);
+    /**
+     * Frees the concurrency slot that an attempt holds at its host. The attempt itself may still be in
+     * flight.
+     */
+    private void freeSlot(Attempt attempt) {
+        if (!attempt.holdsSlot) return;
+        attempt.holdsSlot = false;
+        attemptsInFlight--;
+        attempt.host.attempts.remove(attempt);
+        attempt.host.workInFlightMs =
+                attempt.host.attempts.isEmpty() ? 0 : attempt.host.workInFlightMs - attempt.expectedMs;
+        if (attempt.host.attempts.isEmpty()) busyHosts.remove(attempt.host);
+    }
+
+    @Override public void onAttemptEnded(double now, AttemptResult result) {
+        ActiveRequest active = activeRequests.get(result.id());
+        if (active == null || result.attempt() < 0 || result.attempt() >= active.attempts.size()) return;
+        Attempt attempt = active.attempts.get(result.attempt());
+        if (!attempt.inFlight) return;
+        attempt.inFlight = false;
+        attempt.neverRan = result.outcome().neverRan();
+        attempt.undelivered = attempt.neverRan && result.outcome() != Outcome.FULL;
+        freeSlot(attempt);
+        learn(now, active, attempt, result);
+        if (result.closed()) {
+            close(active);
+        } else if (!active.closed && !active.hasAttemptInFlight()) {
+            if (takeRetryToken(now, active) && result.outcome() != Outcome.MOOT) {
+                active.cls.queue.addFirst(active);
+            } else {
+                counters.note(Item.TRIED);
+                answerUnserved(active);
             }
         }
-        if (ask.done && !ask.anyOut()) asks.remove(ask.request.id());
+        if (active.closed && !active.hasAttemptInFlight()) activeRequests.remove(active.request.id());
         release(now);
     }
 
     @Override public void onClientLeft(double now, String id) {
-        Ask ask = asks.get(id);
-        if (ask == null) return;
-        close(ask);
-        for (Attempt a : ask.attempts) {
-            if (a.out && set.limits().cancel() && !ask.streaming) act.cancel(id, a.number);
+        ActiveRequest active = activeRequests.get(id);
+        if (active == null) return;
+        close(active);
+        for (Attempt a : active.attempts) {
+            if (a.inFlight && settings.limits().cancel() && !active.streaming) actions.cancel(id, a.number);
         }
     }
 
     @Override public void onTimer(double now, String token) {
-        if (token.equals("watch")) act.watchHosts();
+        if (token.equals("watch")) actions.watchHosts();
         if (!token.equals("beat")) return;
-        act.startTimer(TICK_MS, "beat");
-        noteStall(now);
+        actions.startTimer(TICK_MS, "beat");
+        recordStall(now);
         leases.beat(now);
-        expire(now);
-        missAnswers(now);
-        if (exchange != null) exchange.beat(now);
-        if (now - surveyedAt >= SURVEY_MS) survey(now);
-        watchHealth(now);
-        adaptBound(now);
-        weighClasses(now);
-        sweep(now);
+        expireQueued(now);
+        handleMissedReplies(now);
+        if (coordinator != null) coordinator.beat(now);
+        if (now - surveyedAt >= HOST_SURVEY_INTERVAL_MS) surveyHosts(now);
+        handleOverdueAttempts(now);
+        adaptSlots(now);
+        adaptClassWeights(now);
+        evictIdle(now);
         release(now);
-        pulse(now);
-        post(now);
+        queueHeartbeats(now);
+        sendDueMessages(now);
     }
 
-    /** Leases last by words and their answers, also where there is nothing else to tell. */
-    private void pulse(double now) {
+    /** Leases are kept up by messages and their replies, also while there is nothing else to report. */
+    private void queueHeartbeats(double now) {
         for (Peer peer : peers) {
-            if (now - peer.sharedAt < FORGET_MS && now - peer.toldAt >= pulse) queue(peer, null);
+            if (now - peer.ceilingSharedAt < MIN_IDLE_EVICTION_MS && now - peer.lastSentAt >= heartbeatMs) {
+                queue(peer, null);
+            }
         }
     }
 
-    /** What came while this gateway stood still is read only now: no peer or host is blamed for that. */
-    private void noteStall(double now) {
-        double late = late(now);
-        beatAt = now;
+    /** Input that arrived during a stall of this process is read late; no peer or host is blamed for that. */
+    private void recordStall(double now) {
+        double late = tickLatenessMs(now);
+        lastTickAt = now;
         if (late == 0) return;
-        stalled += late;
+        totalStallMs += late;
         leases.stalled(late);
-        if (exchange != null) exchange.stalled(late);
-        questions.forEach(a -> a.answerBy += late);
+        if (coordinator != null) coordinator.stalled(late);
+        pendingQueries.forEach(active -> active.replyDueAt += late);
     }
 
-    /** How late the next beat is, where that is more than the timers' own doing. */
-    private double late(double now) {
-        double late = now - beatAt - TICK_MS;
+    /** How late the next tick is; 0 where that is within the usual inaccuracy of timers. */
+    private double tickLatenessMs(double now) {
+        double late = now - lastTickAt - TICK_MS;
         return late > TICK_MS ? late : 0;
     }
 
-    /** How long this gateway itself has stood still while an attempt was out. */
-    private double ownStall(double now, Attempt a) {
-        return stalled - a.stalled + late(now);
+    /** How long this process itself has been stalled since an attempt was sent. */
+    private double ownStallMs(double now, Attempt attempt) {
+        return totalStallMs - attempt.stallMsBefore + tickLatenessMs(now);
     }
 
-    /** Peers take this for a gateway that has just started: it has no lease. */
-    private void beginLife(double now) {
-        epoch = (int) (long) now;
-        double term = TERM_PULSES * pulse;
-        leases = new TwoPartyLeases(new TwoPartyLeases.Terms(term, term + TERMS_APART_MS), peers.length, now);
+    /** Peers treat this gateway as a process that has just started: it holds no lease. */
+    private void beginIncarnation(double now) {
+        incarnation = (int) (long) now;
+        double term = LEASE_HEARTBEATS * heartbeatMs;
+        leases = new TwoPartyLeases(new TwoPartyLeases.Terms(term, term + LEASE_TAKEOVER_MARGIN_MS),
+                peers.length, now);
     }
 
     @Override public void onNoOtherSpenderSince(double now, double since) {
-        fillsSince = Math.min(fillsSince, since);
-        if (exchange != null) exchange.aloneSince(since);
+        ceilingFillsSince = Math.min(ceilingFillsSince, since);
+        if (coordinator != null) coordinator.aloneSince(since);
     }
 
     @Override public void onReplaced(double now) {
-        customers.values().forEach(c -> touch(now, c)); // up to here all is this process's
+        customers.values().forEach(c -> refill(now, c)); // what has filled up to here belongs to this process
         replacedAt = now;
-        if (exchange != null) exchange.replaced(now);
+        if (coordinator != null) coordinator.replaced(now);
     }
 
     @Override public void onRestored(double now) {
-        beginLife(now); // peers know the other process as the later life
-        customers.values().forEach(c -> touch(now, c)); // what filled since went with the other
+        beginIncarnation(now); // peers know the other process as the later incarnation
+        customers.values().forEach(c -> refill(now, c)); // what filled meanwhile was the other process's
         startedAt += now - replacedAt;
-        fillsSince += now - replacedAt;
+        ceilingFillsSince += now - replacedAt;
         replacedAt = Double.POSITIVE_INFINITY;
-        if (exchange != null) exchange.restored(now, epoch);
+        if (coordinator != null) coordinator.restored(now, incarnation);
     }
 
-    @Override public void onShutdown(double now) { if (exchange != null) exchange.leave(now); }
+    @Override public void onShutdown(double now) {
+        if (coordinator != null) coordinator.leave(now);
+    }
 
-    @Override public void onProbeResult(double now, String host, Outcome outcome, double took,
+    @Override public void onProbeResult(double now, String id, Outcome outcome, double latencyMs,
             double[] report) {
-        Server s = servers.get(host); // now is when the probe was sent, which may be another gateway's
-        if (s != null) s.health.probed(now, outcome, BAD_ANSWER, FAILED_GAIN, SLOW_FADE_MS);
+        HostRecord host = hostsById.get(id); // now is the time of sending, possibly by another gateway
+        if (host != null) {
+            host.slowness.updateFromProbe(now, outcome, FULL_HOST_SLOWNESS, FAILURE_SAMPLE_WEIGHT,
+                    SLOWNESS_FADE_MS);
+        }
     }
 
     @Override public void onCounterResult(double now, String counter, Outcome outcome, double total) { }
 
-    // ---- admission by parts
+    // ---- admission by shares of a quota
 
-    private enum Verdict { IN, OUT, ASK }
+    private enum Admission { ADMIT, REFUSE, QUERY }
 
     /**
-     * A customer's books; null where there is no room for new ones. The plan and the set that came first
-     * stand as long as it is remembered: who claims others gets no fresh stores and moves no keeper.
+     * A customer's state, created on its first use; null where there is no room for more. The plan and the
+     * gateway set that came first stay until the state is evicted, so a client that claims other ones gets no
+     * full buckets and moves no ledger.
      */
-    private Customer customer(double now, long id, int plan, int first, int spread) {
+    private Customer customer(double now, long id, int plan, int firstGateway, int setSize) {
         Customer c = customers.get(id);
-        if (c == null && (customers.size() >= CUSTOMERS_MAX || plan >= set.plans().size())) return null;
+        if (c == null && (customers.size() >= MAX_TRACKED_CUSTOMERS || plan >= settings.plans().size())) {
+            return null;
+        }
         if (c == null) {
-            Plan p = set.plans().get(plan);
+            Plan p = settings.plans().get(plan);
             c = new Customer(id, plan, p, now);
-            c.level = p.burst();
+            c.quotaLevel = p.burst();
             customers.put(id, c);
         }
-        if (c.spread == 0 && spread > 0) { // till now it is known from peers at most
+        if (c.setSize == 0 && setSize > 0) { // the customer was known from peers at most
             Plan p = c.plan;
-            c.spread = Math.min(spread, peers.length);
-            c.first = first;
-            c.keepers = EngineState.ranked(id, first, c.spread, peers.length, KEEPERS);
-            c.tokens = p.burst() / c.spread;
-            // The ceiling's store starts with what has filled since this gateway's last life ended, as far as
-            // that is known, never with a burst: that life may have spent it (rule 5).
-            double filled = (Math.min(now, replacedAt) - fillsSince) / 1000 * p.ceilingRate();
-            c.ceiling = ownShare(c) * Math.min(p.ceilingBurst(), filled);
-            c.leasedSince = leasedSince(now, c);
+            c.setSize = Math.min(setSize, peers.length);
+            c.firstGateway = firstGateway;
+            c.replicas =
+                    EngineState.rendezvousRanked(id, firstGateway, c.setSize, peers.length, LEDGER_REPLICAS);
+            c.localTokens = p.burst() / c.setSize;
+            // The ceiling's bucket starts with what is known to have filled since the last incarnation of
+            // this gateway ended, never with a burst: that incarnation may have spent it (rule 5).
+            double filled = (Math.min(now, replacedAt) - ceilingFillsSince) / 1000 * p.ceilingRate();
+            c.ceilingTokens = permanentCeilingShare(c) * Math.min(p.ceilingBurst(), filled);
+            c.leaseHeldSince = leaseHeldSince(now, c);
         }
-        touch(now, c);
+        refill(now, c);
         return c;
     }
 
-    /** What this gateway has of a ceiling for good: with what is leased all shares sum to one. */
-    private double ownShare(Customer c) {
-        if (c.spread <= 1) return c.spread;
-        if (rounds != null) return 1.0 / c.spread;
-        double first = c.keepers[0] == set.me() ? OWNER_SHARE * (otherKeeper(c) < 0 ? 1 : 1 - LEASED) : 0;
-        return first + (1 - OWNER_SHARE) / c.spread;
+    /** This gateway's permanent share of a ceiling; together with the leased parts all shares sum to one. */
+    private double permanentCeilingShare(Customer c) {
+        if (c.setSize <= 1) return c.setSize;
+        if (gossip != null) return 1.0 / c.setSize;
+        double primary = c.replicas[0] == settings.me()
+                ? PRIMARY_CEILING_SHARE * (leasePeer(c) < 0 ? 1 : 1 - LEASED_PRIMARY_SHARE) : 0;
+        return primary + (1 - PRIMARY_CEILING_SHARE) / c.setSize;
     }
 
-    /** With whom this gateway has a part of the customer's ceiling in lease; -1 where with nobody. */
-    private int otherKeeper(Customer c) {
-        boolean asked = set.limits().peers() && rounds == null && exchange == null;
-        if (!asked || c.plan.ceilingRate() <= 0 || c.spread <= 1) return -1;
-        return c.keepers[0] == set.me() ? c.keepers[1] : c.keepers[1] == set.me() ? c.keepers[0] : -1;
+    /** The gateway that shares a leased part of the customer's ceiling with this one; -1 for none. */
+    private int leasePeer(Customer c) {
+        boolean queries = settings.limits().peers() && gossip == null && coordinator == null;
+        if (!queries || c.plan.ceilingRate() <= 0 || c.setSize <= 1) return -1;
+        return c.replicas[0] == settings.me() ? c.replicas[1]
+                : c.replicas[1] == settings.me() ? c.replicas[0] : -1;
     }
 
-    /** Since when this gateway has the share that either keeper has: the second when the first is silent. */
-    private double leasedSince(double now, Customer c) {
-        int other = otherKeeper(c);
+    /** Since when this gateway holds the leased part: the backup holds it while the primary is silent. */
+    private double leaseHeldSince(double now, Customer c) {
+        int other = leasePeer(c);
         if (other < 0) return TwoPartyLeases.NOT;
-        return c.keepers[0] == set.me() ? leases.heldSince(now, other) : leases.takenSince(other);
+        return c.replicas[0] == settings.me() ? leases.heldSince(now, other) : leases.takenSince(other);
     }
 
     private double ceilingShare(Customer c) {
-        return ownShare(c) + (c.leasedSince == TwoPartyLeases.NOT ? 0 : OWNER_SHARE * LEASED);
+        return permanentCeilingShare(c)
+                + (c.leaseHeldSince == TwoPartyLeases.NOT ? 0
+                        : PRIMARY_CEILING_SHARE * LEASED_PRIMARY_SHARE);
     }
 
-    private double ceilingHold(Customer c) {
+    private double ceilingCapacity(Customer c) {
         return c.plan.ceilingBurst() * ceilingShare(c);
     }
 
-    /** What may be in the store: the rest of the share is let in and unsent, or on its way to another. */
+    /**
+     * The most that the bucket may hold: the rest of the share is admitted and unsent, or lent and in
+     * transit.
+     */
     private double ceilingRoom(double now, Customer c) {
-        return ceilingHold(c) - c.unsent - c.loans.lent(now);
+        return ceilingCapacity(c) - c.unsentCeilingUnits - c.transfers.lent(now);
     }
 
-    /** Each share is spent by its holder alone; what was saved of one that left is gone when it returns. */
-    private void fillCeiling(double now, Customer c) {
-        int other = otherKeeper(c);
-        if (other >= 0) peers[other].sharedAt = now;
-        double from = c.touchedAt;
-        double since = leasedSince(now, c);
-        if (since != c.leasedSince) { // till then at most the own share was here
+    /** Only the holder of a share spends it. Units that a holder saved are lost when it loses the lease. */
+    private void refillCeiling(double now, Customer c) {
+        int other = leasePeer(c);
+        if (other >= 0) peers[other].ceilingSharedAt = now;
+        double from = c.refilledAt;
+        double since = leaseHeldSince(now, c);
+        if (since != c.leaseHeldSince) { // until then at most the permanent share was held here
             from = Math.min(now, Math.max(from, since));
-            c.leasedSince = TwoPartyLeases.NOT;
-            fillShare(c, from - c.touchedAt);
-            c.leasedSince = since;
+            c.leaseHeldSince = TwoPartyLeases.NOT;
+            addCeilingFill(c, from - c.refilledAt);
+            c.leaseHeldSince = since;
         }
-        fillShare(c, now - from);
+        addCeilingFill(c, now - from);
     }
 
-    /** Units let in but not sent yet are still in the true store, and it may not overfill (rule 5). */
-    private void fillShare(Customer c, double ms) {
-        double filled = c.ceiling + c.plan.ceilingRate() / 1000 * ceilingShare(c) * ms;
-        c.ceiling = Math.min(ceilingRoom(c.touchedAt, c), filled);
+    /** Units admitted but not sent yet still count as in the bucket, which must not overfill (rule 5). */
+    private void addCeilingFill(Customer c, double ms) {
+        double filled = c.ceilingTokens + c.plan.ceilingRate() / 1000 * ceilingShare(c) * ms;
+        c.ceilingTokens = Math.min(ceilingRoom(c.refilledAt, c), filled);
     }
 
-    private void touch(double now, Customer c) {
-        double s = (now - c.touchedAt) / 1000;
-        if (s <= 0) return;
-        if (now > replacedAt) { // what fills is the other process's, and with a lease goes what it gave
-            c.touchedAt = now;
-            fillCeiling(now, c);
+    /** Brings a customer's buckets and averages up to date. */
+    private void refill(double now, Customer c) {
+        double seconds = (now - c.refilledAt) / 1000;
+        if (seconds <= 0) return;
+        if (now > replacedAt) {
+            // What fills now belongs to the other process. The end of a lease still takes its units.
+            c.refilledAt = now;
+            refillCeiling(now, c);
             return;
         }
-        double fade = Math.exp(-(now - c.touchedAt) / DEMAND_MS);
+        double fade = Math.exp(-(now - c.refilledAt) / DEMAND_WINDOW_MS);
         Plan p = c.plan;
-        double part = part(now, c);
-        fillCeiling(now, c);
+        double share = demandShare(now, c);
+        refillCeiling(now, c);
         c.demand *= fade;
-        c.others *= fade;
-        c.useRate *= fade;
-        c.touchedAt = now;
-        c.level = Math.min(p.burst(), c.level + p.rate() * s);
-        double hold = Math.max(part * p.burst(), Math.min(p.burst(), set.sharing().maxUnits()));
-        c.tokens = Math.min(hold, c.tokens + part * p.rate() * s);
-    }
-
-    /** This gateway's part of a customer's demand: all parts of one keeper's word sum to one. */
-    private double part(double now, Customer c) {
-        if (c.spread <= 1) return c.spread;
-        if (rounds != null && now - roundHeardAt > RELAX_MS) return 1.0 / c.spread;
-        if (!set.limits().peers()) return now - c.meterAt < RELAX_MS ? c.meterPart : 1.0 / c.spread;
-        boolean stale = rounds == null && now - c.newsAt > RELAX_MS;
-        if (stale && keeper(now, c, 0) != set.me()) return 1.0 / c.spread;
-        double prior = EVEN_PRIOR * c.plan.rate();
-        return (c.demand + prior / c.spread) / (c.demand + c.others + prior);
-    }
-
-    /** The gateway that decides on a customer, from its keeper {@code stage} on; -1 where none can be had. */
-    private int keeper(double now, Customer c, int stage) {
-        for (int i = stage; i < c.keepers.length; i++) {
-            int k = c.keepers[i];
-            boolean last = i == c.keepers.length - 1;
-            if (k == set.me() ? last || !unsure(now, c) : now >= peers[k].silentTill) return k;
+        c.othersDemand *= fade;
+        c.usagePerSecond *= fade;
+        c.refilledAt = now;
+        c.quotaLevel = Math.min(p.burst(), c.quotaLevel + p.rate() * seconds);
+        double capacity = Math.max(share * p.burst(), Math.min(p.burst(), settings.sharing().maxUnits()));
+        c.localTokens = Math.min(capacity, c.localTokens + share * p.rate() * seconds);
+    }
+
+    /** This gateway's share of a customer's demand; the shares by one replica's report sum to one. */
+    private double demandShare(double now, Customer c) {
+        if (c.setSize <= 1) return c.setSize;
+        if (gossip != null && now - broadcastReceivedAt > STALE_REPORT_MS) return 1.0 / c.setSize;
+        if (!settings.limits().peers()) {
+            return now - c.meteredAt < STALE_REPORT_MS ? c.meteredShare : 1.0 / c.setSize;
         }
-        return c.keepers[0] == set.me() ? set.me() : -1;
+        boolean stale = gossip == null && now - c.lastReportAt > STALE_REPORT_MS;
+        if (stale && actingReplica(now, c, 0) != settings.me()) return 1.0 / c.setSize;
+        double prior = EVEN_DEMAND_SHARE * c.plan.rate();
+        return (c.demand + prior / c.setSize)
+                / (c.demand + c.othersDemand + prior);
+    }
+
+    /** The replica that decides on a customer now, searched from index {@code stage} on; -1 for none. */
+    private int actingReplica(double now, Customer c, int stage) {
+        for (int i = stage; i < c.replicas.length; i++) {
+            int replica = c.replicas[i];
+            boolean last = i == c.replicas.length - 1;
+            if (replica == settings.me() ? last || !missesHistory(now, c)
+                    : now >= peers[replica].unresponsiveUntil) return replica;
+        }
+        return c.replicas[0] == settings.me() ? settings.me() : -1;
     }
 
-    /** A keeper new to its life does not know what was used before, until told or until it cannot matter. */
-    private boolean unsure(double now, Customer c) {
-        return !c.informed && (now - startedAt) / 1000 * c.plan.rate() < c.plan.burst();
+    /**
+     * Whether this process, as a replica, may not know what was used before its start. That ends with a
+     * report, or once the bucket would have filled since.
+     */
+    private boolean missesHistory(double now, Customer c) {
+        return !c.historyKnown && (now - startedAt) / 1000 * c.plan.rate() < c.plan.burst();
     }
 
-    private Verdict judge(double now, Customer c, double units) {
-        c.demand += units / DEMAND_MS * 1000;
-        if (rounds != null && c.spread > 1) rounds.changed(c.id);
+    /** Whether to admit a request, by what this gateway knows; QUERY where only a replica can decide. */
+    private Admission judgeAdmission(double now, Customer c, double units) {
+        c.demand += units / DEMAND_WINDOW_MS * 1000;
+        if (gossip != null && c.setSize > 1) gossip.changed(c.id);
         Plan p = c.plan;
         boolean limited = p.rate() > 0 && !p.excessPays();
-        if (!p.excessPays() && !openAdmits(now, c) || limited && c.level < units) {
-            if (now - c.toldAt > SYNC_MS) changed(now, c);
-            return Verdict.OUT;
+        if (!p.excessPays() && !openLimitAdmits(now, c) || limited && c.quotaLevel < units) {
+            if (now - c.lastQueuedAt > REPLICA_SYNC_MS) queueChange(now, c);
+            return Admission.REFUSE;
         }
-        boolean bound = limited || p.ceilingRate() > 0;
-        if (exchange != null && c.spread > 1) return bound ? Verdict.ASK : Verdict.IN;
-        if (rounds != null && c.spread > 1) {
-            boolean fits = !limited || c.tokens >= units || c.level - reserve(now, c) >= units;
-            return fits && (p.ceilingRate() <= 0 || c.ceiling >= units) ? Verdict.IN : Verdict.OUT;
+        boolean bounded = limited || p.ceilingRate() > 0;
+        if (coordinator != null && c.setSize > 1) return bounded ? Admission.QUERY : Admission.ADMIT;
+        if (gossip != null && c.setSize > 1) {
+            boolean fits = !limited || c.localTokens >= units || c.quotaLevel - reserve(now, c) >= units;
+            return fits && (p.ceilingRate() <= 0 || c.ceilingTokens >= units) ? Admission.ADMIT
+                    : Admission.REFUSE;
         }
-        boolean asks = set.limits().peers() && c.spread > 1;
-        int keeper = keeper(now, c, 0);
-        boolean room = !limited || keeper == set.me() && asks
-                || c.tokens >= units && (!asks || now - c.newsAt < FRESH_MS)
-                || asks && now - c.newsAt < FRESH_MS && c.level - reserve(now, c) >= units;
-        boolean ceiling = p.ceilingRate() <= 0 || c.ceiling >= units; // rule 5: own units need no peer
-        if (room && ceiling) return Verdict.IN;
-        return asks ? Verdict.ASK : Verdict.OUT;
+        boolean queries = settings.limits().peers() && c.setSize > 1;
+        int replica = actingReplica(now, c, 0);
+        boolean room = !limited || replica == settings.me() && queries
+                || c.localTokens >= units && (!queries || now - c.lastReportAt < FRESH_REPORT_MS)
+                || queries && now - c.lastReportAt < FRESH_REPORT_MS
+                        && c.quotaLevel - reserve(now, c) >= units;
+        boolean ceiling = p.ceilingRate() <= 0 || c.ceilingTokens >= units; // rule 5: own units need no query
+        if (room && ceiling) return Admission.ADMIT;
+        return queries ? Admission.QUERY : Admission.REFUSE;
     }
 
-    /** What the others may have used since a keeper told, as far as it matters against the excess cost. */
+    /**
+     * Units that the others may have used since the last report, weighed by the cost of exceeding the quota.
+     */
     private double reserve(double now, Customer c) {
-        double cost = c.plan.overCost() - c.plan.overWorth();
-        double rate = c.others + WARY * c.plan.rate();
-        double age = rounds == null ? now - c.newsAt + LAG_MS : rounds.gapMs() / 2;
+        double cost = c.plan.excessCost() - c.plan.excessValue();
+        double rate = c.othersDemand + UNREPORTED_USE_SHARE * c.plan.rate();
+        double age = gossip == null ? now - c.lastReportAt + REPORT_LAG_MS : gossip.gapMs() / 2;
         return rate * age / 1000 * 2 * cost / (1 + cost);
     }
 
-    private boolean openAdmits(double now, Customer c) {
+    /**
+     * Whether the plan's limit of open requests has room. Without a fresh report each gateway has its share.
+     */
+    private boolean openLimitAdmits(double now, Customer c) {
         int limit = c.plan.openLimit();
-        boolean fresh = c.spread == 1 || set.limits().peers() && rounds == null && exchange == null
-                && (keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS);
-        return limit <= 0 || (fresh ? c.open + c.othersOpen < limit
-                : c.open < Math.max(1, (int) (limit * part(now, c))));
-    }
-
-    private double waitTold(double ms) {
-        double longest = set.limits().maxRetryAfterMs();
-        return set.limits().retryAfter() ? Math.min(longest, Math.max(RETRY_MIN_MS, ms)) : 0;
-    }
-
-    // ---- questions to keepers
-
-    /** Holds a request for the word of the next keeper that may know; without one the even part decides. */
-    private void question(double now, Ask ask, int stage) {
-        Customer c = ask.customer;
-        int keeper = stage < c.keepers.length ? keeper(now, c, stage) : -1;
-        if (keeper < 0 || keeper == set.me() || now + ANSWER_MS >= ask.request.deadlineMs() - DEADLINE_MS) {
-            c.pending.remove(ask);
-            boolean room = c.plan.rate() <= 0 || (keeper < 0 ? c.tokens : c.level) >= ask.request.units();
-            boolean in = room && (c.plan.ceilingRate() <= 0 || c.ceiling >= ask.request.units());
-            if (!in) account.note(Item.KEEPER);
-            decide(now, ask, in);
-            changed(now, c);
+        boolean fresh = c.setSize == 1
+                || settings.limits().peers() && gossip == null && coordinator == null
+                && (actingReplica(now, c, 0) == settings.me() || now - c.lastReportAt < FRESH_REPORT_MS);
+        return limit <= 0 || (fresh ? c.openRequests + c.othersOpenRequests < limit
+                : c.openRequests < Math.max(1, (int) (limit * demandShare(now, c))));
+    }
+
+    /** The wait that a refusal advises: within the settings' limits, 0 where they allow none. */
+    private double retryAfterMs(double ms) {
+        double longest = settings.limits().maxRetryAfterMs();
+        return settings.limits().retryAfter() ? Math.min(longest, Math.max(MIN_RETRY_AFTER_MS, ms)) : 0;
+    }
+
+    // ---- admission queries to ledger replicas
+
+    /**
+     * Holds a request for the reply of the next replica that may know; without one the even share decides.
+     */
+    private void queryReplica(double now, ActiveRequest active, int stage) {
+        Customer c = active.customer;
+        int replica = stage < c.replicas.length ? actingReplica(now, c, stage) : -1;
+        if (replica < 0 || replica == settings.me()
+                || now + REPLY_TIMEOUT_MS >= active.request.deadlineMs() - DEADLINE_MARGIN_MS) {
+            c.pending.remove(active);
+            boolean room = c.plan.rate() <= 0
+                    || (replica < 0 ? c.localTokens : c.quotaLevel) >= active.request.units();
+            boolean in = room && (c.plan.ceilingRate() <= 0 || c.ceilingTokens >= active.request.units());
+            if (!in) counters.note(Item.KEEPER);
+            admitOrRefuse(now, active, in);
+            queueChange(now, c);
             return;
         }
-        ask.stage = keeper == c.keepers[0] ? 0 : c.keepers.length - 1;
-        ask.keeper = keeper;
-        ask.askSerial = peers[keeper].serial + 1; // of the next message: the last one did not ask for it
-        ask.answerBy = now + ANSWER_MS;
-        if (!c.pending.contains(ask)) c.pending.addLast(ask);
-        questions.add(ask);
-        c.toldAt = now;
-        queue(peers[keeper], c);
-    }
-
-    private void decide(double now, Ask ask, boolean in) {
-        if (in) letIn(now, ask);
+        active.replicaStage = replica == c.replicas[0] ? 0 : c.replicas.length - 1;
+        active.queriedReplica = replica;
+        active.querySerial = peers[replica].sentSerial + 1; // of the next message to it
+        active.replyDueAt = now + REPLY_TIMEOUT_MS;
+        if (!c.pending.contains(active)) c.pending.addLast(active);
+        pendingQueries.add(active);
+        c.lastQueuedAt = now;
+        queue(peers[replica], c);
+    }
+
+    private void admitOrRefuse(double now, ActiveRequest active, boolean in) {
+        if (in) admit(now, active);
         if (in) return;
-        close(ask);
-        Customer c = ask.customer;
-        act.refuse(ask.request.id(), waitTold(c == null ? FORGET_MS : c.refillMs(ask.request.units())));
-    }
-
-    /** Silence of a peer shows only where an answer was due: then it is passed over for a while. */
-    private void missAnswers(double now) {
-        questions.removeIf(a -> a.done || a.admitted);
-        for (Ask ask : questions.stream().filter(a -> now >= a.answerBy).toList()) {
-            questions.remove(ask);
-            peers[ask.keeper].silentTill = now + SILENT_MS;
-            touch(now, ask.customer);
-            question(now, ask, ask.stage + 1);
+        close(active);
+        Customer c = active.customer;
+        actions.refuse(active.request.id(),
+                retryAfterMs(c == null ? MIN_IDLE_EVICTION_MS : c.refillMs(active.request.units())));
+    }
+
+    /** A peer counts as unresponsive only after a missed reply. It is then not queried for a while. */
+    private void handleMissedReplies(double now) {
+        pendingQueries.removeIf(active -> active.closed || active.admitted);
+        for (ActiveRequest active : pendingQueries.stream().filter(a -> now >= a.replyDueAt).toList()) {
+            pendingQueries.remove(active);
+            peers[active.queriedReplica].unresponsiveUntil = now + UNRESPONSIVE_PEER_PAUSE_MS;
+            refill(now, active.customer);
+            queryReplica(now, active, active.replicaStage + 1);
         }
     }
 
-    // ---- tells between gateways
+    // ---- messages between gateways
 
-    /** The keeper in charge is to know at once; where it is this gateway, the other keepers now and then. */
-    private void changed(double now, Customer c) {
-        if (!set.limits().peers() || c.spread == 1 || rounds != null || exchange != null) return;
-        int keeper = keeper(now, c, 0);
-        if (keeper != set.me()) {
-            c.toldAt = now;
-            if (keeper >= 0) queue(peers[keeper], c);
-        } else if (now - c.toldAt > SYNC_MS) {
-            c.toldAt = now;
-            IntStream.of(c.keepers).filter(k -> k != set.me()).forEach(k -> queue(peers[k], c));
+    /**
+     * Queues a report of a change to the acting replica; as that replica, reports to the others now and then.
+     */
+    private void queueChange(double now, Customer c) {
+        if (!settings.limits().peers() || c.setSize == 1
+                || gossip != null || coordinator != null) return;
+        int replica = actingReplica(now, c, 0);
+        if (replica != settings.me()) {
+            c.lastQueuedAt = now;
+            if (replica >= 0) queue(peers[replica], c);
+        } else if (now - c.lastQueuedAt > REPLICA_SYNC_MS) {
+            c.lastQueuedAt = now;
+            IntStream.of(c.replicas).filter(r -> r != settings.me()).forEach(r -> queue(peers[r], c));
         }
     }
 
-    private void queue(Peer peer, Customer told) {
-        if (told != null) peer.tells.add(told);
-        if (!peer.waiting) outbox.addLast(peer);
-        peer.waiting = true;
-    }
-
-    /** Questions take half of the intake, since each brings an answer; answers only keep the shortest gap. */
-    private void post(double now) {
-        if (rounds != null && rounds.due(now, !wishes.isEmpty())) tellAll(now);
-        double rate = mailRate();
-        mail = Math.min(Math.max(1, rate * MAIL_BURST_MS), mail + (now - mailAt) * rate / 2);
-        mailAt = now;
-        double gap = Math.min(GAP_MAX_MS, (peers.length - 1) / rate);
-        for (Peer peer : new ArrayList<>(outbox)) {
-            if (now - peer.toldAt < gap || peer.answers.isEmpty() && mail < 1) continue;
-            if (peer.answers.isEmpty()) mail -= 1;
-            tell(now, peer);
-            if (!peer.tells.isEmpty() || !peer.answers.isEmpty()) continue;
-            outbox.remove(peer);
-            peer.waiting = false;
+    /** Queues a message to a peer, with a report on a customer where that is not null. */
+    private void queue(Peer peer, Customer reported) {
+        if (reported != null) peer.reports.add(reported);
+        if (!peer.inSendQueue) sendQueue.addLast(peer);
+        peer.inSendQueue = true;
+    }
+
+    /**
+     * Reports may use half of the message budget, since each brings a reply; replies only keep the minimum
+     * gap.
+     */
+    private void sendDueMessages(double now) {
+        if (gossip != null && gossip.due(now, !transferRequests.isEmpty())) broadcastUsage(now);
+        double rate = messagesPerMs();
+        messageBudget = Math.min(Math.max(1, rate * MESSAGE_BURST_MS),
+                messageBudget + (now - budgetRefilledAt) * rate / 2);
+        budgetRefilledAt = now;
+        double gap = Math.min(MAX_PEER_GAP_MS, (peers.length - 1) / rate);
+        for (Peer peer : new ArrayList<>(sendQueue)) {
+            if (now - peer.lastSentAt < gap || peer.replies.isEmpty() && messageBudget < 1) continue;
+            if (peer.replies.isEmpty()) messageBudget -= 1;
+            sendLedgerMessage(now, peer);
+            if (!peer.reports.isEmpty() || !peer.replies.isEmpty()) continue;
+            sendQueue.remove(peer);
+            peer.inSendQueue = false;
         }
     }
 
-    /** Messages a millisecond that a gateway may take in, and so the tier may send it. */
-    private double mailRate() {
-        return Math.max(1, set.sharing().mailPerSecond()) * MAIL_SHARE / 1000;
+    /**
+     * Messages per millisecond that all peers together may send to one gateway, hence also that one may send.
+     */
+    private double messagesPerMs() {
+        return Math.max(1, settings.sharing().mailPerSecond()) * MESSAGE_BUDGET_SHARE / 1000;
     }
 
-    /** Where keepers can't be asked in time, all hear of all use, and each lets in by its own view. */
-    private void tellAll(double now) {
-        int count = UsageMessage.word(++roundsTold);
-        List<Customer> told = new ArrayList<>();
+    /**
+     * Where queries would take too long, all gateways get all use reported, and each admits by its own view.
+     */
+    private void broadcastUsage(double now) {
+        int count = UsageMessage.word(++broadcastsSent);
+        List<Customer> reported = new ArrayList<>();
         List<UsageMessage.Want> wants = new ArrayList<>();
-        List<UsageMessage.Gift> gifts = gifts(now);
-        for (long id : rounds.next(now, UsageMessage.room(UsageMessage.LOANS + gifts.size()))) {
+        List<UsageMessage.Gift> grants = grantTransfers(now);
+        for (long id : gossip.next(now,
+                UsageMessage.room(UsageMessage.LOANS + grants.size()))) {
             Customer c = customers.get(id);
             if (c == null) continue;
-            touch(now, c);
-            told.add(c);
-            double units = UsageMessage.loan(ceilingShort(now, c));
-            for (int i = 0; units > 0 && i < GIVERS && wants.size() < UsageMessage.LOANS; i++) {
-                int giver = c.loans.giver(now, c.first, c.spread, peers.length, random,
-                        g -> g != set.me() && now - peers[g].roundAt < RELAX_MS);
-                if (giver < 0) break;
-                c.loans.asked(now, giver, count);
-                wants.add(new UsageMessage.Want(id, c.planNumber, c.first, c.spread, giver, units));
+            refill(now, c);
+            reported.add(c);
+            double units = UsageMessage.loan(ceilingShortfall(now, c));
+            for (int i = 0; units > 0 && i < LENDERS_PER_TRANSFER
+                    && wants.size() < UsageMessage.LOANS; i++) {
+                int lender = c.transfers.giver(now, c.firstGateway, c.setSize, peers.length, random,
+                        g -> g != settings.me() && now - peers[g].lastBroadcastAt < STALE_REPORT_MS);
+                if (lender < 0) break;
+                c.transfers.asked(now, lender, count);
+                wants.add(new UsageMessage.Want(id, c.planNumber, c.firstGateway, c.setSize,
+                        lender, units));
             }
         }
-        List<UsageMessage.Entry> entries = told.stream().map(c -> new UsageMessage.Entry(c.id, c.planNumber,
-                UsageMessage.usedField(c.usedAtMost()), c.demand, c.fullness())).toList();
-        account.note(Item.TOLD);
-        act.sendToPeer(EVERYONE, new UsageMessage(epoch, count, entries, wants, gifts).bytes());
-    }
-
-    /** What fits into the own share of a ceiling, where little is left and the quota has room. */
-    private double ceilingShort(double now, Customer c) {
-        double least = set.sharing().maxUnits();
-        boolean needs = c.plan.ceilingRate() > 0 && c.spread > 1 && c.level >= least
-                && c.ceiling - c.demand * 2 * rounds.gapMs() / 1000 < least;
-        return needs ? ceilingRoom(now, c) - c.ceiling : 0;
-    }
-
-    /** Answers to wants: what is beyond the own need, deducted here first. */
-    private List<UsageMessage.Gift> gifts(double now) {
-        List<UsageMessage.Gift> gifts = new ArrayList<>();
-        for (Wish w = wishes.poll(); w != null; w = wishes.poll()) {
-            Customer c = w.customer();
-            touch(now, c);
-            double spare = c.ceiling - Math.max(KEPT * ceilingHold(c), c.demand);
-            double units = UsageMessage.loan(Math.min(w.units(), spare));
-            if (units <= 0 || now - w.at() > RELAX_MS) continue;
-            c.ceiling -= units;
-            c.loans.gave(now, units);
-            gifts.add(new UsageMessage.Gift(c.id, w.peer(), w.life(), w.count(), units));
-            if (gifts.size() == UsageMessage.LOANS) break;
+        List<UsageMessage.Entry> entries = reported.stream().map(c -> new UsageMessage.Entry(c.id,
+                c.planNumber, UsageMessage.usedField(c.maxUsedUnits()), c.demand,
+                c.fullness())).toList();
+        counters.note(Item.TOLD);
+        actions.sendToPeer(ALL_PEERS, new UsageMessage(incarnation, count, entries, wants, grants).bytes());
+    }
+
+    /** Units missing in the own share of a ceiling; 0 unless little is left and the quota has room. */
+    private double ceilingShortfall(double now, Customer c) {
+        double least = settings.sharing().maxUnits();
+        boolean needs = c.plan.ceilingRate() > 0 && c.setSize > 1 && c.quotaLevel >= least
+                && c.ceilingTokens - c.demand * 2 * gossip.gapMs() / 1000 < least;
+        return needs ? ceilingRoom(now, c) - c.ceilingTokens : 0;
+    }
+
+    /**
+     * Answers transfer requests with units beyond the own need, which are deducted here before they are sent.
+     */
+    private List<UsageMessage.Gift> grantTransfers(double now) {
+        List<UsageMessage.Gift> grants = new ArrayList<>();
+        for (CeilingTransferRequest r = transferRequests.poll(); r != null; r = transferRequests.poll()) {
+            Customer c = r.customer();
+            refill(now, c);
+            double spare = c.ceilingTokens
+                    - Math.max(MIN_KEPT_CEILING_SHARE * ceilingCapacity(c), c.demand);
+            double units = UsageMessage.loan(Math.min(r.units(), spare));
+            if (units <= 0 || now - r.receivedAt() > STALE_REPORT_MS) continue;
+            c.ceilingTokens -= units;
+            c.transfers.gave(now, units);
+            grants.add(new UsageMessage.Gift(c.id, r.peer(), r.incarnation(), r.count(), units));
+            if (grants.size() == UsageMessage.LOANS) break;
         }
-        return gifts;
+        return grants;
     }
 
-    private void heardLoans(double now, Peer peer, UsageMessage m) {
+    /** Keeps a broadcast's transfer requests for later answers, and takes the units that it grants. */
+    private void handleTransfers(double now, Peer peer, UsageMessage m) {
         for (UsageMessage.Want w : m.wants()) {
-            boolean both = w.inSet(peer.number, peers.length) && w.inSet(set.me(), peers.length);
-            if (w.giver() != set.me() || !both || wishes.size() >= WISHES_MAX) continue;
+            boolean both = w.inSet(peer.number, peers.length) && w.inSet(settings.me(), peers.length);
+            if (w.giver() != settings.me() || !both
+                    || transferRequests.size() >= MAX_TRANSFER_REQUESTS) continue;
             Customer c = customer(now, w.customer(), w.plan(), w.first(), w.spread());
             if (c == null || c.planNumber != w.plan()) continue;
-            wishes.add(new Wish(c, peer.number, UsageMessage.word(m.life()), m.count(), w.units(), now));
+            transferRequests.add(new CeilingTransferRequest(c, peer.number,
+                    UsageMessage.word(m.life()), m.count(), w.units(), now));
         }
         for (UsageMessage.Gift g : m.gifts()) {
-            Customer c = g.to() == set.me() ? customers.get(g.customer()) : null;
-            if (c == null || g.toLife() != UsageMessage.word(epoch)) continue;
-            touch(now, c);
-            if (!c.loans.takes(now, peer.number, g.toCount())) continue;
-            c.ceiling = Math.max(c.ceiling, Math.min(ceilingRoom(now, c), c.ceiling + g.units()));
+            Customer c = g.to() == settings.me() ? customers.get(g.customer()) : null;
+            if (c == null || g.toLife() != UsageMessage.word(incarnation)) continue;
+            refill(now, c);
+            if (!c.transfers.takes(now, peer.number, g.toCount())) continue;
+            c.ceilingTokens = Math.max(c.ceilingTokens,
+                    Math.min(ceilingRoom(now, c), c.ceilingTokens + g.units()));
         }
     }
 
-    private void heardUse(double now, Peer peer, UsageMessage m) {
-        if (!peer.hears(now, m.life(), m.count())) return;
-        roundHeardAt = peer.roundAt = now;
+    /** Takes over what a broadcast reports as used, and the ceiling units that it asks for or grants. */
+    private void handleUsageMessage(double now, Peer peer, UsageMessage m) {
+        if (!peer.accepts(now, m.life(), m.count())) return;
+        broadcastReceivedAt = peer.lastBroadcastAt = now;
         for (UsageMessage.Entry e : m.entries()) {
             Customer c = customer(now, e.customer(), e.plan(), 0, 0);
             if (c == null || c.planNumber != e.plan()) continue;
-            // What a peer used in a life that began before this one was taken from the store that it sees.
-            Member told = c.member(peer);
-            boolean learns = !told.known && now - startedAt < FORGET_MS && m.life() - epoch < 0;
-            double since = told.usedSince(e.used());
-            c.others = Math.max(0, c.others + e.demand() - told.demand(now, DEMAND_MS));
-            told.demand = e.demand();
-            told.demandAt = now;
-            c.newsAt = now;
-            c.level = Math.max(-set.sharing().maxUnits(), c.level - (learns ? 0 : since));
-            if (learns) c.level = Math.min(c.level, e.fullness() * c.plan.burst());
+            // What a peer used in an incarnation that began before this one was taken from the bucket level
+            // that the peer reports, so the level is adopted instead of the use.
+            PeerUsage usage = c.usageOf(peer);
+            boolean adopts = !usage.known && now - startedAt < MIN_IDLE_EVICTION_MS
+                    && m.life() - incarnation < 0;
+            double since = usage.usedSinceLastReport(e.used());
+            c.othersDemand = Math.max(0, c.othersDemand + e.demand()
+                    - usage.demand(now, DEMAND_WINDOW_MS));
+            usage.demand = e.demand();
+            usage.demandAt = now;
+            c.lastReportAt = now;
+            c.quotaLevel = Math.max(-settings.sharing().maxUnits(), c.quotaLevel - (adopts ? 0 : since));
+            if (adopts) c.quotaLevel = Math.min(c.quotaLevel, e.fullness() * c.plan.burst());
         }
-        heardLoans(now, peer, m);
+        handleTransfers(now, peer, m);
     }
 
-    private void tell(double now, Peer peer) {
+    /** Sends one message with as many due replies and reports as fit, replies first. */
+    private void sendLedgerMessage(double now, Peer peer) {
         List<LedgerMessage.Entry> entries = new ArrayList<>();
-        int room = (TELL_BYTES - LedgerMessage.HEAD_BYTES) / LedgerMessage.ENTRY_BYTES;
-        peer.serial++;
-        for (LinkedHashSet<Customer> due : List.of(peer.answers, peer.tells)) {
+        int room = (MAX_LEDGER_MESSAGE_BYTES - LedgerMessage.HEAD_BYTES) / LedgerMessage.ENTRY_BYTES;
+        peer.sentSerial++;
+        for (LinkedHashSet<Customer> due : List.of(peer.replies, peer.reports)) {
             for (Iterator<Customer> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
                 Customer c = it.next();
-                touch(now, c);
-                entries.add(due == peer.answers ? answer(now, c, peer) : tellOf(now, c, peer));
+                refill(now, c);
+                entries.add(due == peer.replies ? replyEntry(now, c, peer) : reportEntry(now, c, peer));
             }
         }
-        peer.toldAt = now;
-        account.note(Item.TOLD);
-        leases.told(now, peer.number, peer.serial);
-        var message = new LedgerMessage(epoch, peer.life.number(), peer.serial, peer.heardSerial, entries);
-        act.sendToPeer(peer.number, message.bytes());
-    }
-
-    private LedgerMessage.Entry tellOf(double now, Customer c, Peer keeper) {
-        for (Ask a : c.pending) if (a.keeper == keeper.number) a.askSerial = keeper.serial;
-        double want = c.pendingUnits();
-        boolean asked = keeper(now, c, 0) == keeper.number || now < keeper.silentTill
-                || c.pending.stream().anyMatch(a -> a.keeper == keeper.number);
-        boolean view = keeper(now, c, 0) == set.me() || now - c.newsAt < FRESH_MS;
-        return new LedgerMessage.Entry(false, asked, c.plan.ceilingRate() > 0 && c.ceiling < want, false,
-                view, c.id, c.planNumber, c.first, c.spread, c.used, want, c.demand, c.fullness(), c.open, 0);
+        peer.lastSentAt = now;
+        counters.note(Item.TOLD);
+        leases.told(now, peer.number, peer.sentSerial);
+        var message = new LedgerMessage(incarnation, peer.incarnation.number(), peer.sentSerial,
+                peer.receivedSerial, entries);
+        actions.sendToPeer(peer.number, message.bytes());
     }
 
-    private LedgerMessage.Entry answer(double now, Customer c, Peer to) {
-        Member m = c.member(to);
-        double others = Math.max(0, c.demand + c.others - m.demand(now, DEMAND_MS));
-        return new LedgerMessage.Entry(true, false, c.plan.ceilingRate() > 0, unsure(now, c), false, c.id,
-                c.planNumber, c.first, c.spread, m.booked, m.granted, others, c.fullness(),
-                c.open + c.othersOpen - m.open, m.given);
+    /**
+     * A report to a ledger replica on one customer, with a query for the requests that wait for its reply.
+     */
+    private LedgerMessage.Entry reportEntry(double now, Customer c, Peer replica) {
+        for (ActiveRequest a : c.pending) {
+            if (a.queriedReplica == replica.number) a.querySerial = replica.sentSerial;
+        }
+        double wanted = c.pendingUnits();
+        boolean needsReply = actingReplica(now, c, 0) == replica.number || now < replica.unresponsiveUntil
+                || c.pending.stream().anyMatch(a -> a.queriedReplica == replica.number);
+        boolean view = actingReplica(now, c, 0) == settings.me() || now - c.lastReportAt < FRESH_REPORT_MS;
+        return new LedgerMessage.Entry(false, needsReply,
+                c.plan.ceilingRate() > 0 && c.ceilingTokens < wanted, false, view, c.id, c.planNumber,
+                c.firstGateway, c.setSize, c.used, wanted, c.demand, c.fullness(),
+                c.openRequests, 0);
+    }
+
+    /** A ledger replica's reply to a peer on one customer. */
+    private LedgerMessage.Entry replyEntry(double now, Customer c, Peer to) {
+        PeerUsage usage = c.usageOf(to);
+        double others = Math.max(0, c.demand + c.othersDemand - usage.demand(now, DEMAND_WINDOW_MS));
+        return new LedgerMessage.Entry(true, false, c.plan.ceilingRate() > 0, missesHistory(now, c), false,
+                c.id, c.planNumber, c.firstGateway, c.setSize, usage.bookedUnits, usage.grantedUnits, others,
+                c.fullness(), c.openRequests + c.othersOpenRequests - usage.openRequests,
+                usage.ceilingUnitsGiven);
     }
 
     @Override public void onPeerMessage(double now, int from, byte[] data) {
-        if (from < 0 || from >= peers.length || from == set.me()) return; // a stranger
-        if (rounds != null) {
-            UsageMessage m = UsageMessage.read(data);
-            if (m != null) account.note(Item.HEARD);
-            if (m != null) heardUse(now, peers[from], m);
+        if (from < 0 || from >= peers.length || from == settings.me()) return; // not a peer of this tier
+        if (gossip != null) {
+            UsageMessage usage = UsageMessage.read(data);
+            if (usage != null) counters.note(Item.HEARD);
+            if (usage != null) handleUsageMessage(now, peers[from], usage);
         }
-        QuotaMessage talk = exchange == null ? null : QuotaMessage.read(data);
-        LedgerMessage tell = talk == null ? LedgerMessage.read(data) : null;
-        if (talk == null && tell == null) return; // damaged, or of a version unknown here
-        account.note(Item.HEARD);
-        if (exchange != null) exchange.heard(now, from, talk);
-        if (exchange != null) return;
+        QuotaMessage quota = coordinator == null ? null : QuotaMessage.read(data);
+        LedgerMessage ledger = quota == null ? LedgerMessage.read(data) : null;
+        if (quota == null && ledger == null) return; // damaged, or of an unknown version
+        counters.note(Item.HEARD);
+        if (coordinator != null) coordinator.heard(now, from, quota);
+        if (coordinator != null) return;
         Peer peer = peers[from];
-        if (!peer.hears(now, tell.epoch(), tell.serial())) return;
-        peer.silentTill = NEVER;
-        boolean toThisLife = tell.yourEpoch() == epoch;
+        if (!peer.accepts(now, ledger.epoch(), ledger.serial())) return;
+        peer.unresponsiveUntil = NEVER;
+        boolean toThisIncarnation = ledger.yourEpoch() == incarnation;
         leases.heard(now, from);
-        if (toThisLife) leases.answered(now, from, tell.yourSerial());
-        for (LedgerMessage.Entry e : tell.entries()) {
-            if (e.answer()) hearAnswer(now, peer, e, tell.yourSerial(), toThisLife);
-            else hearTell(now, peer, e);
+        if (toThisIncarnation) leases.answered(now, from, ledger.yourSerial());
+        for (LedgerMessage.Entry e : ledger.entries()) {
+            if (e.answer()) handleReply(now, peer, e, ledger.yourSerial(), toThisIncarnation);
+            else handleReport(now, peer, e);
         }
-        post(now);
+        sendDueMessages(now);
     }
 
-    /** As a keeper: books what was used, grants of what is wanted as far as the store has it. */
-    private void hearTell(double now, Peer peer, LedgerMessage.Entry e) {
+    /**
+     * Books, as a ledger replica, what a peer reports as used, and grants the units that it wants as far as
+     * the bucket holds them.
+     *
+     * <p>The peer's bucket level is adopted if the peer is the acting replica, or if this process does not
+     * know the history and the peer has a fresh level. The units that a peer returns are limited to what was
+     * granted to it or is open: a total that falls further was reset, since the peer has evicted the
+     * customer, and would fill the bucket. Ceiling units are deducted here before they are sent, so a lost
+     * message loses units.
+     */
+    private void handleReport(double now, Peer peer, LedgerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
-        if (e.spread() > peers.length || place >= e.spread()) return; // a set that cannot be
+        if (e.spread() > peers.length || place >= e.spread()) return; // not a possible gateway set
         Customer c = customer(now, e.customer(), e.plan(), e.first(), e.spread());
         if (c == null) return;
-        if (IntStream.of(c.keepers).noneMatch(k -> k == set.me())) return;
-        boolean unsure = unsure(now, c);
-        boolean adopts = e.view() && (unsure || keeper(now, c, 0) == peer.number);
-        if (adopts) { // the word of the keeper in charge, or of anyone fresh where this one knows nothing
-            c.level = Math.min(unsure ? c.level : c.plan.burst(), e.fullness() * c.plan.burst());
-            c.informed = true;
+        if (IntStream.of(c.replicas).noneMatch(r -> r == settings.me())) return;
+        boolean unsure = missesHistory(now, c);
+        boolean adopts = e.view() && (unsure || actingReplica(now, c, 0) == peer.number);
+        if (adopts) {
+            c.quotaLevel = Math.min(unsure ? c.quotaLevel : c.plan.burst(), e.fullness() * c.plan.burst());
+            c.historyKnown = true;
         }
-        Member m = c.member(peer);
-        c.others = Math.max(0, c.others + e.demand() - m.demand(now, DEMAND_MS));
-        m.demand = e.demand();
-        m.demandAt = now;
-        // Given back is at most what was granted or open. A count that falls further began anew, since its
-        // sender had forgotten the customer, and would fill the store.
-        double back = m.granted + m.open * set.sharing().maxUnits();
-        c.othersOpen += e.open() - m.open;
-        m.open = e.open();
-        double spent = m.known && !adopts ? Math.max(-back, LedgerMessage.ahead(e.used(), m.booked)) : 0;
-        m.known = true;
-        c.level = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.level - spent));
+        PeerUsage usage = c.usageOf(peer);
+        c.othersDemand = Math.max(0, c.othersDemand + e.demand() - usage.demand(now, DEMAND_WINDOW_MS));
+        usage.demand = e.demand();
+        usage.demandAt = now;
+        double back = usage.grantedUnits + usage.openRequests * settings.sharing().maxUnits();
+        c.othersOpenRequests += e.open() - usage.openRequests;
+        usage.openRequests = e.open();
+        double spent = usage.known && !adopts
+                ? Math.max(-back, LedgerMessage.ahead(e.used(), usage.bookedUnits)) : 0;
+        usage.known = true;
+        c.quotaLevel = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.quotaLevel - spent));
         boolean gives = e.ceiling() && c.plan.ceilingRate() > 0;
-        boolean grants = e.want() > 0 && (c.plan.rate() <= 0 || c.level >= e.want())
-                && (!gives || c.ceiling >= e.want());
-        m.granted = grants ? e.want() : 0;
-        m.booked = e.used() + m.granted;
-        c.level -= m.granted;
-        if (keeper(now, c, 0) == set.me() && spent + m.granted != 0) changed(now, c);
-        if (grants && gives && e.reply()) { // deducted here first, so a lost message loses units
-            c.ceiling -= e.want();
-            m.given += e.want();
+        boolean grants = e.want() > 0
+                && (c.plan.rate() <= 0 || c.quotaLevel >= e.want())
+                && (!gives || c.ceilingTokens >= e.want());
+        usage.grantedUnits = grants ? e.want() : 0;
+        usage.bookedUnits = e.used() + usage.grantedUnits;
+        c.quotaLevel -= usage.grantedUnits;
+        if (actingReplica(now, c, 0) == settings.me() && spent + usage.grantedUnits != 0) queueChange(now, c);
+        if (grants && gives && e.reply()) {
+            c.ceilingTokens -= e.want();
+            usage.ceilingUnitsGiven += e.want();
         }
         if (e.reply()) {
-            peer.answers.add(c);
+            peer.replies.add(c);
             queue(peer, null);
         }
     }
 
-    /** A keeper's word: the store and the others' demand, and what of the wanted units is granted. */
-    private void hearAnswer(double now, Peer peer, LedgerMessage.Entry e, int mySerial, boolean toThisLife) {
+    /**
+     * Processes a replica's reply: the bucket level, the others' demand, and the granted part of the wanted
+     * units. If the plans differ, one of the two gateways was given a wrong plan, and nothing is granted. The
+     * primary did not book what another replica granted, so it gets a report then.
+     */
+    private void handleReply(double now, Peer peer, LedgerMessage.Entry e, int mySerial, boolean current) {
         Customer c = customers.get(e.customer());
-        if (c == null || !toThisLife) return;
-        touch(now, c);
-        if (c.planNumber != e.plan()) { // one of the two was told a wrong plan: this grants nothing
-            List<Ask> asked = c.pending.stream().filter(a -> a.keeper == peer.number).toList();
-            asked.forEach(a -> decide(now, a, false));
+        if (c == null || !current) return;
+        refill(now, c);
+        if (c.planNumber != e.plan()) {
+            var asked = c.pending.stream().filter(a -> a.queriedReplica == peer.number).toList();
+            asked.forEach(a -> admitOrRefuse(now, a, false));
             return;
         }
-        Member m = c.member(peer);
-        if (e.ceiling() && e.given() > m.taken) {
-            c.ceiling = Math.min(ceilingHold(c) - c.unsent, c.ceiling + e.given() - m.taken);
-            m.taken = e.given();
+        PeerUsage usage = c.usageOf(peer);
+        if (e.ceiling() && e.given() > usage.ceilingUnitsTaken) {
+            c.ceilingTokens = Math.min(ceilingCapacity(c) - c.unsentCeilingUnits,
+                    c.ceilingTokens + e.given() - usage.ceilingUnitsTaken);
+            usage.ceilingUnitsTaken = e.given();
         }
-        List<Ask> judged = c.pending.stream()
-                .filter(a -> a.keeper == peer.number && !LedgerMessage.after(a.askSerial, mySerial)).toList();
+        List<ActiveRequest> decided = c.pending.stream().filter(a -> a.queriedReplica == peer.number
+                && !LedgerMessage.after(a.querySerial, mySerial)).toList();
         if (!e.unsure()) {
-            c.others = e.demand();
-            c.othersOpen = e.open();
-            c.newsAt = now;
-            c.informed = true;
-            c.level = e.fullness() * c.plan.burst() - LedgerMessage.ahead(c.used, e.used());
+            c.othersDemand = e.demand();
+            c.othersOpenRequests = e.open();
+            c.lastReportAt = now;
+            c.historyKnown = true;
+            c.quotaLevel = e.fullness() * c.plan.burst() - LedgerMessage.ahead(c.used, e.used());
         }
         double granted = e.want();
-        for (Ask ask : judged) {
-            double units = ask.request.units();
-            if (e.unsure() && ask.stage + 1 < c.keepers.length) {
-                question(now, ask, ask.stage + 1);
+        for (ActiveRequest active : decided) {
+            double units = active.request.units();
+            if (e.unsure() && active.replicaStage + 1 < c.replicas.length) {
+                queryReplica(now, active, active.replicaStage + 1);
                 continue;
             }
-            c.pending.remove(ask);
-            boolean in = granted >= units && (c.plan.ceilingRate() <= 0 || c.ceiling >= units);
+            c.pending.remove(active);
+            boolean in = granted >= units && (c.plan.ceilingRate() <= 0 || c.ceilingTokens >= units);
             granted -= in ? units : 0;
-            if (!in) account.note(Item.KEEPER);
-            decide(now, ask, in);
-            int first = c.keepers[0]; // it did not book what another let in
-            if (in && peer.number != first && first != set.me()) queue(peers[first], c);
+            if (!in) counters.note(Item.KEEPER);
+            admitOrRefuse(now, active, in);
+            int primary = c.replicas[0];
+            if (in && peer.number != primary && primary != settings.me()) queue(peers[primary], c);
         }
     }
 
-    // ---- release
+    // ---- release of queued requests
 
-    /** Places for attempts out: the even ones of what hosts get fleet-wide, and some for chance bursts. */
-    private double bound() {
-        double even = perHost * Math.max(1, capacity) / peers.length;
-        return Math.max(1, even + CHANCE * Math.sqrt(even) * (1 - 1.0 / peers.length));
+    /** Concurrency slots of this gateway: its even part of all hosts' slots, and some for random bursts. */
+    private double slotLimit() {
+        double even = slotsPerHost * Math.max(1, warmCapacity) / peers.length;
+        return Math.max(1, even + BURST_SLOTS_PER_ROOT * Math.sqrt(even) * (1 - 1.0 / peers.length));
     }
 
-    /** Work-conserving fair turns: the backlogged class with the earliest turn goes next. */
+    /**
+     * Work-conserving fair queueing: of the classes with queued requests, the lowest virtual time goes next.
+     */
     private void release(double now) {
-        double bound = bound();
+        double limit = slotLimit();
         LinkedHashSet<ClassState> stuck = new LinkedHashSet<>();
-        while (inFlight < bound) {
+        while (attemptsInFlight < limit) {
             ClassState next = null;
             for (ClassState c : classes.values()) {
-                boolean earlier = next == null || c.turn < next.turn;
+                boolean earlier = next == null || c.virtualTime < next.virtualTime;
                 if (earlier && !c.queue.isEmpty() && !stuck.contains(c)) next = c;
             }
             if (next == null) return;
             if (!releaseOne(now, next)) stuck.add(next);
         }
-        waited = true;
+        requestsWaited = true;
     }
 
+    /** Sends the first queued request of a class for which a host may be used; false if there is none. */
     private boolean releaseOne(double now, ClassState c) {
-        for (Ask ask : c.queue.stream().limit(SCAN).toList()) {
-            Server s = now > ask.leaveBy && !ask.leftWhole() ? null : pick(now, ask);
-            if (s == null) continue;
-            c.queue.remove(ask);
-            turn = Math.max(turn, c.turn);
-            c.turn += ask.work() / c.weight;
-            boolean goesOn = !c.queue.isEmpty();
-            if (goesOn && c.releasedAt > NEVER) {
-                c.releaseGap += GAP_GAIN * (now - c.releasedAt - c.releaseGap);
+        for (ActiveRequest active : c.queue.stream().limit(SCAN_LIMIT).toList()) {
+            HostRecord host = now > active.sendBy && !active.mayHaveReachedHost() ? null
+                    : chooseHost(now, active);
+            if (host == null) continue;
+            c.queue.remove(active);
+            virtualTime = Math.max(virtualTime, c.virtualTime);
+            c.virtualTime += active.expectedMs() / c.weight;
+            boolean moreQueued = !c.queue.isEmpty();
+            if (moreQueued && c.lastReleaseAt > NEVER) {
+                c.meanReleaseGapMs +=
+                        RELEASE_GAP_SAMPLE_WEIGHT * (now - c.lastReleaseAt - c.meanReleaseGapMs);
             }
-            c.releasedAt = goesOn ? now : NEVER;
-            send(now, ask, s);
+            c.lastReleaseAt = moreQueued ? now : NEVER;
+            send(now, active, host);
             return true;
         }
         return false;
     }
 
-    private void send(double now, Ask ask, Server s) {
-        Attempt a = new Attempt(ask, s, now, ask.work(), stalled);
-        if (ask.attempts.isEmpty()) {
-            retryTokens = Math.min(RETRY_MAX, retryTokens + RETRY_SHARE);
-            ask.cls.noteDelay(now - ask.arrived, 0);
-            if (ask.customer != null) ask.customer.unsent -= ask.request.units();
+    private void send(double now, ActiveRequest active, HostRecord host) {
+        Attempt attempt = new Attempt(active, host, now, active.expectedMs(), totalStallMs);
+        if (active.attempts.isEmpty()) {
+            retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
+            active.cls.recordDelay(now - active.arrivedAt, 0);
+            if (active.customer != null) active.customer.unsentCeilingUnits -= active.request.units();
         }
-        ask.attempts.add(a);
-        if (ask.request.restMs() == 0) { // a host begins no sooner than the last byte is there
-            a.placed = true;
-            s.out.add(a);
-            s.outWork += a.work;
-            watched.add(s);
-            inFlight++;
+        active.attempts.add(attempt);
+        if (active.request.bodyTimeMs() == 0) { // a host starts no request before its last byte has arrived
+            attempt.holdsSlot = true;
+            host.attempts.add(attempt);
+            host.workInFlightMs += attempt.expectedMs;
+            busyHosts.add(host);
+            attemptsInFlight++;
         }
-        account.note(Item.SENT);
-        if (rampOf(s, now) < 1) account.note(Item.TO_COLD);
-        act.send(ask.request.id(), s.info.id(), 0);
-    }
-
-    /** When a held request must have left or be answered here: rule 1, and no work for late answers. */
-    private double giveUpAt(Ask ask) {
-        double end = ask.request.deadlineMs() - DEADLINE_MS;
-        if (ask.ran() != null) return end;
-        // What reached no host by half of the client's time has cost it that time for nothing.
-        double time = ask.request.deadlineMs() - ask.arrived;
-        if (!ask.leftWhole()) end = Math.min(end, ask.arrived + UNSENT_SHARE * time);
-        double aim = ask.cls.spec.aimMs();
-        double useful = ask.cls.spec.lateValue() >= LATE_WORTH_KEPT ? end : Math.min(end, ask.arrived + aim);
-        double hold = useful - ask.arrived - FINISH_SHARE * ask.work();
-        double leave = ask.leftWhole() ? end : Math.min(end, ask.leaveBy);
-        return Math.min(leave, ask.arrived + Math.max(HOLD_SHARE * aim, hold));
-    }
-
-    private void expire(double now) {
+        counters.note(Item.SENT);
+        if (warmth(host, now) < 1) counters.note(Item.TO_COLD);
+        actions.send(active.request.id(), host.info.id(), 0);
+    }
+
+    /**
+     * When a queued request must be sent or answered: before its deadline (rule 1) and while that is useful.
+     */
+    private double giveUpAt(ActiveRequest active) {
+        double end = active.request.deadlineMs() - DEADLINE_MARGIN_MS;
+        if (active.firstPossiblyRun() != null) return end;
+        // A request that reached no host is refused early, so that the client has time left for a further
+        // try.
+        double time = active.request.deadlineMs() - active.arrivedAt;
+        if (!active.mayHaveReachedHost()) end = Math.min(end, active.arrivedAt + UNSENT_TIME_SHARE * time);
+        double goal = active.cls.spec.aimMs();
+        double useful = active.cls.spec.lateValue() >= MIN_LATE_VALUE ? end
+                : Math.min(end, active.arrivedAt + goal);
+        double hold = useful - active.arrivedAt - FINISH_TIME_FACTOR * active.expectedMs();
+        double sendBy = active.mayHaveReachedHost() ? end : Math.min(end, active.sendBy);
+        return Math.min(sendBy, active.arrivedAt + Math.max(MIN_HOLD_GOAL_SHARE * goal, hold));
+    }
+
+    private void expireQueued(double now) {
         for (ClassState c : classes.values()) {
-            for (Ask ask : c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
-                account.note(ask.attempts.isEmpty() ? Item.NO_PLACE : Item.TRIED);
-                c.noteDelay(now - ask.arrived, 0);
-                finish(ask); // takes it from the queue
+            for (ActiveRequest active : c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
+                counters.note(active.attempts.isEmpty() ? Item.NO_PLACE : Item.TRIED);
+                c.recordDelay(now - active.arrivedAt, 0);
+                answerUnserved(active); // also removes it from the queue
             }
         }
     }
 
-    /** The final answer where none was served: a refusal only where a further try is harmless (rule 2). */
-    private void finish(Ask ask) {
-        RequestClass spec = ask.cls.spec;
-        boolean harmless = ask.ran() == null || spec.effect() == Effect.REPEATABLE
+    /**
+     * Gives the final answer to an unserved request: a refusal only where a further try is harmless (rule 2).
+     */
+    private void answerUnserved(ActiveRequest active) {
+        RequestClass spec = active.cls.spec;
+        boolean harmless = active.firstPossiblyRun() == null || spec.effect() == Effect.REPEATABLE
                 || spec.effect() == Effect.KEYED && spec.scope() == EngineApi.Scope.ALL;
-        close(ask);
-        // A place may be had once what is held now has left.
-        if (harmless) act.refuse(ask.request.id(), waitTold(ask.cls.queue.size() * ask.cls.releaseGap));
-        else act.fail(ask.request.id());
-    }
-
-    private void close(Ask ask) {
-        if (!ask.anyOut()) asks.remove(ask.request.id());
-        if (ask.done) return;
-        ask.done = true;
-        ask.cls.queue.remove(ask);
-        Customer c = ask.customer;
+        close(active);
+        // A slot can be expected once the requests that are queued now have been sent.
+        if (harmless) {
+            actions.refuse(active.request.id(),
+                    retryAfterMs(active.cls.queue.size() * active.cls.meanReleaseGapMs));
+        } else actions.fail(active.request.id());
+    }
+
+    /** Ends the handling of a request, and returns the units of one that was never sent. */
+    private void close(ActiveRequest active) {
+        if (!active.hasAttemptInFlight()) activeRequests.remove(active.request.id());
+        if (active.closed) return;
+        active.closed = true;
+        active.cls.queue.remove(active);
+        Customer c = active.customer;
         if (c == null) return;
-        c.pending.remove(ask);
-        if (!ask.admitted && exchange != null) exchange.gone(ask.request.id());
-        if (!ask.admitted) return;
-        c.open--;
-        if (ask.attempts.isEmpty()) { // let in but never sent: the units go back
-            c.charge(-ask.request.units(), -ask.request.units(), DEMAND_MS);
-            if (exchange != null) exchange.back(ask.grant);
+        c.pending.remove(active);
+        if (!active.admitted && coordinator != null) coordinator.gone(active.request.id());
+        if (!active.admitted) return;
+        c.openRequests--;
+        if (active.attempts.isEmpty()) { // admitted but never sent: return the units
+            c.charge(-active.request.units(), -active.request.units(), DEMAND_WINDOW_MS);
+            if (coordinator != null) coordinator.back(active.grant);
         }
     }
 
-    private void adaptBound(double now) {
-        if (now - boundAt < BOUND_BEAT_MS) return;
-        // Few answers say nothing of the hosts: one in five takes twice its time on idle ones.
-        if (answers > 0 && answers < BOUND_ANSWERS && now - boundAt < BOUND_ANSWERS * BOUND_BEAT_MS) return;
-        boundAt = now;
-        if (answers > 0) {
-            boolean stretched = latencySum > STRETCHED * baseSum && aimShareSum > AIM_USED * answers
-                    || aimShareSum > AIM_LOST * answers;
-            if (stretched) perHost = Math.max(BOUND_MIN, perHost * BOUND_DOWN);
-            else if (waited) perHost = Math.min(BOUND_MAX, perHost * BOUND_UP);
+    /**
+     * Adapts the slots per host to the latency of recent answers: multiplicative growth and multiplicative
+     * cut.
+     */
+    private void adaptSlots(double now) {
+        if (now - slotsAdaptedAt < SLOT_ADAPTATION_MS) return;
+        // A few answers are not significant: one in five takes twice its usual latency even on idle hosts.
+        if (latencySamples > 0 && latencySamples < MIN_ADAPTATION_SAMPLES
+                && now - slotsAdaptedAt < MIN_ADAPTATION_SAMPLES * SLOT_ADAPTATION_MS) return;
+        slotsAdaptedAt = now;
+        if (latencySamples > 0) {
+            boolean queueing = latencySumMs > QUEUEING_LATENCY_FACTOR * baselineSumMs
+                    && goalShareSum > HARMLESS_GOAL_SHARE * latencySamples
+                    || goalShareSum > QUEUEING_GOAL_SHARE * latencySamples;
+            if (queueing) slotsPerHost = Math.max(MIN_SLOTS_PER_HOST, slotsPerHost * SLOT_CUT_FACTOR);
+            else if (requestsWaited) {
+                slotsPerHost = Math.min(MAX_SLOTS_PER_HOST, slotsPerHost * SLOT_GROWTH_FACTOR);
+            }
         }
-        latencySum = baseSum = aimShareSum = 0;
-        answers = 0;
+        latencySumMs = baselineSumMs = goalShareSum = 0;
+        latencySamples = 0;
         for (ClassState c : classes.values()) {
-            double base = c.samples < BASE_SAMPLES ? c.latencyPerUnit : c.base * BASE_DRIFT;
-            c.base = Math.min(base, c.latencyPerUnit);
+            double baseline = c.samples < MIN_BASELINE_SAMPLES ? c.latencyMsPerUnit
+                    : c.baselineMsPerUnit * BASELINE_GROWTH;
+            c.baselineMsPerUnit = Math.min(baseline, c.latencyMsPerUnit);
         }
     }
 
-    // ---- weights by donation
+    // ---- class weights by donation
 
-    static double goal(ClassState c) {
-        return c.spec.aimMs() * DELAY_GOAL;
+    /** The mean delay, in milliseconds, at which a class is content. */
+    static double delayGoal(ClassState c) {
+        return c.spec.aimMs() * DELAY_GOAL_SHARE;
     }
 
-    private void weighClasses(double now) {
-        if (now - delayAt < WEIGHT_TICK_MS) return;
-        delayAt = now;
+    /** Averages the delays of the classes and, at longer intervals, moves weight between the classes. */
+    private void adaptClassWeights(double now) {
+        if (now - delaysAveragedAt < DELAY_AVERAGING_INTERVAL_MS) return;
+        delaysAveragedAt = now;
         for (ClassState c : classes.values()) {
-            if (c.tickCount > 0) {
-                double mean = c.tickDelay / c.tickCount;
-                c.delay = c.delay == 0 ? mean : ALPHA * c.delay + (1 - ALPHA) * mean;
+            if (c.intervalRequests > 0) {
+                double mean = c.intervalDelaySumMs / c.intervalRequests;
+                c.averageDelayMs = c.averageDelayMs == 0 ? mean
+                        : DELAY_SMOOTHING_OLD_WEIGHT * c.averageDelayMs
+                                + (1 - DELAY_SMOOTHING_OLD_WEIGHT) * mean;
             }
-            c.tickDelay = 0;
-            c.tickCount = 0;
+            c.intervalDelaySumMs = 0;
+            c.intervalRequests = 0;
         }
-        if (now - donateAt < donateGap) return;
-        donateAt = now;
-        if (waited) classes.values().forEach(DecisionEngine::measureSlope);
-        boolean gave = waited && donate(new ArrayList<>(classes.values()));
-        donateGap = gave ? Math.min(WEIGHT_GAP_MAX_MS, donateGap * 2) : WEIGHT_GAP_MS;
-        waited = false;
+        if (now - lastDonationAt < donationIntervalMs) return;
+        lastDonationAt = now;
+        if (requestsWaited) classes.values().forEach(DecisionEngine::measureSlope);
+        boolean donated = requestsWaited && donateWeight(new ArrayList<>(classes.values()));
+        donationIntervalMs = donated ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2)
+                : MIN_DONATION_INTERVAL_MS;
+        requestsWaited = false;
     }
 
-    /** Slopes are negative; a near-nought or wrongly signed one leaves the last good magnitude in place. */
+    /**
+     * Measures how much delay a class has lost per unit of weight since the last measurement. A slope near
+     * zero or of the wrong sign leaves the last good magnitude in place.
+     */
     static void measureSlope(ClassState c) {
-        double moved = c.weight - c.markWeight;
-        if (c.markWeight > 0 && Math.abs(moved) > 1e-6) {
-            double magnitude = -(c.delay - c.markDelay) / moved;
-            if (magnitude > goal(c) * EPSILON) c.slope = magnitude;
+        double gained = c.weight - c.slopeStartWeight;
+        if (c.slopeStartWeight > 0 && Math.abs(gained) > 1e-6) {
+            double magnitude = -(c.averageDelayMs - c.slopeStartDelayMs) / gained;
+            if (magnitude > delayGoal(c) * CONTENT_BAND_HALF_WIDTH) c.delaySlope = magnitude;
         }
-        c.markWeight = c.weight;
-        c.markDelay = c.delay;
+        c.slopeStartWeight = c.weight;
+        c.slopeStartDelayMs = c.averageDelayMs;
     }
 
-    /** The worst underweight class asks, overweight ones give by surplus, clamped; the sum stays. */
-    static boolean donate(List<ClassState> all) {
+    /**
+     * Moves weight to the class that exceeds its delay goal most, from classes below theirs in proportion to
+     * their surplus. Each donation is clamped so that the donor stays content; the sum of the weights stays
+     * the same. If no class exceeds its goal or none has a surplus, the weights stay as they are.
+     *
+     * @return whether any weight was moved
+     */
+    static boolean donateWeight(List<ClassState> all) {
         ClassState worst = null;
-        double surplus = 0;
+        double totalSurplus = 0;
         for (ClassState c : all) {
-            double over = c.delay / goal(c);
-            if (over >= 1 + EPSILON && (worst == null || over > worst.delay / goal(worst))) worst = c;
-            surplus += surplus(c);
+            double over = c.averageDelayMs / delayGoal(c);
+            if (over >= 1 + CONTENT_BAND_HALF_WIDTH
+                    && (worst == null || over > worst.averageDelayMs / delayGoal(worst))) worst = c;
+            totalSurplus += weightSurplus(c);
         }
-        if (worst == null || surplus <= 0) return false; // all content, or all underweight: weights freeze
-        double ask = worst.slope > 0 ? (worst.delay - goal(worst)) / worst.slope : WEIGHT_STEP;
+        if (worst == null || totalSurplus <= 0) return false;
+        double needed = worst.delaySlope > 0 ? (worst.averageDelayMs - delayGoal(worst)) / worst.delaySlope
+                : INITIAL_WEIGHT_STEP;
         double moved = 0;
         for (ClassState c : all) {
-            if (surplus(c) <= 0) continue;
-            double clamp = c.slope > 0 ? ((1 - EPSILON) * goal(c) - c.delay) / c.slope : WEIGHT_STEP;
-            double gift = BETA * Math.min(ask * surplus(c) / surplus, clamp);
-            gift = Math.max(0, Math.min(gift, c.weight - WEIGHT_MIN));
-            c.weight -= gift;
-            moved += gift;
+            if (weightSurplus(c) <= 0) continue;
+            double clamp = c.delaySlope > 0
+                    ? ((1 - CONTENT_BAND_HALF_WIDTH) * delayGoal(c) - c.averageDelayMs) / c.delaySlope
+                    : INITIAL_WEIGHT_STEP;
+            double donation = COMMITTED_DONATION_SHARE
+                    * Math.min(needed * weightSurplus(c) / totalSurplus, clamp);
+            donation = Math.max(0, Math.min(donation, c.weight - MIN_CLASS_WEIGHT));
+            c.weight -= donation;
+            moved += donation;
         }
         worst.weight += moved;
         return moved > 0;
     }
 
-    private static double surplus(ClassState c) {
-        if (c.delay > (1 - EPSILON) * goal(c)) return 0;
-        return (goal(c) - c.delay) / (c.slope > 0 ? c.slope : goal(c));
+    /**
+     * Weight that a class could lose before its delay reaches its goal; 0 if it is not below the content
+     * band.
+     */
+    private static double weightSurplus(ClassState c) {
+        if (c.averageDelayMs > (1 - CONTENT_BAND_HALF_WIDTH) * delayGoal(c)) return 0;
+        return (delayGoal(c) - c.averageDelayMs) / (c.delaySlope > 0 ? c.delaySlope : delayGoal(c));
     }
 
     // ---- hosts
 
     @Override public String takeActivityLine(double now) {
-        long cold = usable.stream().filter(s -> rampOf(s, now) < 1).count();
-        return account.take() + " open=" + asks.size() + " out=" + inFlight + " places=" + (int) bound()
-                + " hosts=" + usable.size() + " cold=" + cold + " avoided=" + avoidedHostCount(now)
-                + (exchange == null ? "" : exchange.counts());
+        long cold = usableHosts.stream().filter(h -> warmth(h, now) < 1).count();
+        return counters.take() + " open=" + activeRequests.size() + " out=" + attemptsInFlight
+                + " places=" + (int) slotLimit() + " hosts=" + usableHosts.size() + " cold=" + cold
+                + " avoided=" + avoidedHostCount(now)
+                + (coordinator == null ? "" : coordinator.counts());
     }
 
     @Override public int avoidedHostCount(double now) {
-        return (int) servers.values().stream().filter(s -> s.listed)
-                .filter(s -> !s.open() || s.health.slowness(now, SLOW_FADE_MS) >= BAD_ANSWER).count();
+        return (int) hostsById.values().stream().filter(h -> h.listed).filter(h -> !h.acceptsRequests()
+                || h.slowness.factor(now, SLOWNESS_FADE_MS) >= FULL_HOST_SLOWNESS).count();
     }
 
-    /** Failures tell of a class on a host, which may serve the others as before; slow answers of the host. */
-    private static double slowness(double now, Server s, ClassState c) {
-        return s.health.slowness(now, SLOW_FADE_MS) * s.of(c).slowness(now, SLOW_FADE_MS);
+    /**
+     * The slowness of a host for a class. Failures count against one class on a host, which may serve the
+     * other classes as before; slow answers count against the host.
+     */
+    private static double slowness(double now, HostRecord host, ClassState c) {
+        return host.slowness.factor(now, SLOWNESS_FADE_MS) * host.slownessOf(c).factor(now, SLOWNESS_FADE_MS);
     }
 
-    private double rampOf(Server s, double now) {
-        double from = set.rules().coldFrom();
-        double done = (now - s.coldAt) / Math.max(1, set.rules().warmWithinMs());
+    /** The share of its capacity that a host has while it warms up; 1 when it is warm. */
+    private double warmth(HostRecord host, double now) {
+        double from = settings.rules().coldFrom();
+        double done = (now - host.startedAt) / Math.max(1, settings.rules().warmWithinMs());
         return done >= 1 ? 1 : Math.max(0.01, from + (1 - from) * Math.max(0, done));
     }
 
-    /** Counts the hosts in use, so that each event needs only look-ups. */
-    private void survey(double now) {
+    /** Counts the usable hosts and chooses the preferred ones, so that each event needs only look-ups. */
+    private void surveyHosts(double now) {
         surveyedAt = now;
-        usable.clear();
-        capacity = 0;
-        for (Server s : servers.values()) {
-            if (!s.open()) continue;
-            usable.add(s);
-            capacity += s.health.slowness(now, SLOW_FADE_MS) < BAD_ANSWER ? rampOf(s, now) : 0;
+        usableHosts.clear();
+        warmCapacity = 0;
+        for (HostRecord host : hostsById.values()) {
+            if (!host.acceptsRequests()) continue;
+            usableHosts.add(host);
+            warmCapacity += host.slowness.factor(now, SLOWNESS_FADE_MS) < FULL_HOST_SLOWNESS
+                    ? warmth(host, now) : 0;
         }
-        // Each gateway keeps to some hosts, in turn with the others: more answers and warm connections at
-        // each, and tables that do not fill where there are hundreds of gateways.
-        usable.sort(Comparator.comparingLong(s -> s.order));
-        homes.clear();
-        int kept = Math.max(HOMES, HOST_GATEWAYS * usable.size() / peers.length);
-        for (int i = 0; i < Math.min(kept, usable.size()); i++) {
-            homes.add(usable.get((int) (((long) set.me() * kept + i) % usable.size())));
+        // Each gateway sends to some hosts only, and the gateways take consecutive parts of the list: each
+        // host gives a gateway more answers and warm connections, and with hundreds of gateways no host's
+        // connection table fills up.
+        usableHosts.sort(Comparator.comparingLong(h -> h.order));
+        preferredHosts.clear();
+        int preferred =
+                Math.max(MIN_PREFERRED_HOSTS, MIN_GATEWAYS_PER_HOST * usableHosts.size() / peers.length);
+        for (int i = 0; i < Math.min(preferred, usableHosts.size()); i++) {
+            preferredHosts.add(usableHosts.get(
+                    (int) (((long) settings.me() * preferred + i) % usableHosts.size())));
         }
     }
 
     /**
-     * The best of a few hosts drawn by what each can do; null where none may be used. The best by the few own
-     * counts of one of many gateways would be the best of all at once, so hosts are drawn: as many as own
-     * attempts out can tell apart, and where that is all of them, all.
+     * Chooses the best of a few hosts drawn at random; null if none may be used. Many gateways that all took
+     * the best host by their few own counts would all take the same one. So hosts are drawn, as many as the
+     * own attempts in flight can tell apart; if that is all preferred hosts, all are compared.
      */
-    private Server pick(double now, Ask ask) {
-        int draws = Math.min(homes.size(), DRAWS + 2 * inFlight);
-        Server best = best(now, ask, ownCounts() ? homes : drawn(now, ask.cls, draws), draws);
-        return best != null ? best : best(now, ask, usable, usable.size());
+    private HostRecord chooseHost(double now, ActiveRequest active) {
+        int draws = Math.min(preferredHosts.size(), MIN_COMPARED_HOSTS + 2 * attemptsInFlight);
+        HostRecord best = bestHost(now, active,
+                comparesAll() ? preferredHosts : drawHosts(now, active.cls, draws), draws);
+        return best != null ? best : bestHost(now, active, usableHosts, usableHosts.size());
     }
 
-    private boolean ownCounts() {
-        return DRAWS + 2 * inFlight >= homes.size();
+    /** Whether the own attempts in flight are enough to tell all preferred hosts apart. */
+    private boolean comparesAll() {
+        return MIN_COMPARED_HOSTS + 2 * attemptsInFlight >= preferredHosts.size();
     }
 
-    private Collection<Server> drawn(double now, ClassState c, int draws) {
-        LinkedHashSet<Server> drawn = new LinkedHashSet<>();
-        for (int i = 0; i < draws * SCAN && drawn.size() < draws; i++) {
-            Server s = homes.get(random.nextInt(homes.size()));
-            if (random.nextDouble() * slowness(now, s, c) <= 1) drawn.add(s);
+    /** Draws preferred hosts, slow ones less often. */
+    private Collection<HostRecord> drawHosts(double now, ClassState c, int draws) {
+        LinkedHashSet<HostRecord> drawn = new LinkedHashSet<>();
+        for (int i = 0; i < draws * SCAN_LIMIT && drawn.size() < draws; i++) {
+            HostRecord host = preferredHosts.get(random.nextInt(preferredHosts.size()));
+            if (random.nextDouble() * slowness(now, host, c) <= 1) drawn.add(host);
         }
         return drawn;
     }
 
-    private Server best(double now, Ask ask, Collection<Server> drawn, int draws) {
-        Server best = null;
+    private HostRecord bestHost(double now, ActiveRequest active, Collection<HostRecord> drawn, int draws) {
+        HostRecord best = null;
         double bestScore = Double.MAX_VALUE;
-        // What is sent goes to those that serve, so a cold host's part is one of these.
-        double among = draws * Math.max(SERVED_MIN, capacity / Math.max(1, usable.size()));
-        for (Server s : drawn) {
-            if (!s.open() || !legal(now, ask, ask.ran(), s)) continue;
-            // A cold host has nothing out and so wins: it takes part as seldom as it may win (rule 4).
-            double ramp = rampOf(s, now);
-            double share = COLD_SAFETY * set.rules().fallMultiple() * ramp;
-            // The look at all hosts is a second one, without counts: a cold host had its chance in the first.
-            boolean hadChance = drawn == usable && ask.ran() == null;
-            boolean seldom = ramp < 1 && (hadChance || random.nextDouble() * among > share);
-            if (seldom && !mayTryOne(ask, s, ramp)) continue;
-            double score = score(now, ask, s) * (1 + 1e-3 * random.nextDouble());
-            if (score < bestScore) best = s;
+        // Requests go to the hosts that serve, so a cold host's part is one of that number.
+        double serving = draws * Math.max(MIN_SERVING_SHARE, warmCapacity / Math.max(1, usableHosts.size()));
+        for (HostRecord host : drawn) {
+            if (!host.acceptsRequests() || !mayRunOn(now, active, active.firstPossiblyRun(), host)) continue;
+            // A cold host has no attempts and would win each comparison, so it takes part only as often as it
+            // may win (rule 4).
+            double warmth = warmth(host, now);
+            double share = COLD_HOST_SAFETY_SHARE * settings.rules().fallMultiple() * warmth;
+            // The comparison of all usable hosts is the second one: a cold host had its chance in the first.
+            boolean hadChance = drawn == usableHosts && active.firstPossiblyRun() == null;
+            boolean skipped = warmth < 1 && (hadChance || random.nextDouble() * serving > share);
+            if (skipped && !mayTryOne(active, host, warmth)) continue;
+            double score = score(now, active, host) * (1 + 1e-3 * random.nextDouble());
+            if (score < bestScore) best = host;
             bestScore = Math.min(bestScore, score);
         }
         return best;
     }
 
     /**
-     * Where nearly all are cold, chance alone leaves them idle and the few warm ones with four times their
-     * time. One request of each gateway at a time can't push a host over: it gets no more than it finishes,
-     * and beyond that at most what all gateways have there, which must fit what the rule allows beyond its
-     * capacity (rule 4).
+     * Whether a cold host may get one request beyond its random share. Where nearly all hosts are cold,
+     * chance alone would leave them idle and the few warm ones at four times their usual latency. One request
+     * of each gateway at a time cannot overload a host: it gets no more than it finishes, and beyond that at
+     * most what all gateways have there, which must fit what rule 4 allows beyond the host's capacity.
      */
-    private boolean mayTryOne(Ask ask, Server s, double ramp) {
-        double beyond = (set.rules().fallMultiple() - 1) * ramp * COLD_CORES * set.rules().fallMs();
-        return s.out.isEmpty() && ask.request.restMs() == 0 && peers.length * ask.work() <= beyond;
+    private boolean mayTryOne(ActiveRequest active, HostRecord host, double warmth) {
+        double allowed = (settings.rules().fallMultiple() - 1) * warmth * MIN_CORES_PER_HOST
+                * settings.rules().fallMs();
+        return host.attempts.isEmpty() && active.request.bodyTimeMs() == 0
+                && peers.length * active.expectedMs() <= allowed;
     }
 
-    private double score(double now, Ask ask, Server s) {
-        double doubt = slowness(now, s, ask.cls);
-        if (!ownCounts() && doubt < TROUBLED) doubt = 1; // drawn by it already
-        for (Attempt a : ask.attempts) {
-            if (a.server == s) doubt *= BAD_ANSWER;
+    /**
+     * Expected time to serve the request at a host, raised by doubts about the host; the lowest is the best.
+     */
+    private double score(double now, ActiveRequest active, HostRecord host) {
+        double doubt = slowness(now, host, active.cls);
+        if (!comparesAll() && doubt < TROUBLED_SLOWNESS) doubt = 1; // the draw has taken it into account
+        for (Attempt a : active.attempts) {
+            if (a.host == host) doubt *= FULL_HOST_SLOWNESS;
         }
-        // A zone is preferred only where own counts show its load, or all would gather in a crowded one.
-        double zone = !ownCounts() || s.info.zone().equals(set.zone()) ? 0 : ZONE_COST * ask.work();
-        double ramp = homes.size() < usable.size() ? 1 : rampOf(s, now); // else it is seldom drawn already
-        return (ask.work() + s.outWork) * doubt / ramp + zone;
+        // The own zone is preferred only where the own counts show its load. Otherwise all gateways would
+        // send to an overloaded zone.
+        double zone = !comparesAll() || host.info.zone().equals(settings.zone()) ? 0
+                : CROSS_ZONE_COST_SHARE * active.expectedMs();
+        // With more usable than preferred hosts a cold host is compared less often already.
+        double warmth = preferredHosts.size() < usableHosts.size() ? 1 : warmth(host, now);
+        return (active.expectedMs() + host.workInFlightMs) * doubt / warmth + zone;
     }
 
-    /** Rule 2: once an attempt may have run, only where a repeat does no harm. */
-    private boolean legal(double now, Ask ask, Attempt ran, Server s) {
-        return repeatable(now, ask, ran) && (ran == null || ask.cls.spec.effect() != Effect.KEYED
-                || ask.cls.spec.scope().together(s.info, ran.server.info));
+    /** Rule 2: once an attempt may have run, a request goes only to hosts where a repeat does no harm. */
+    private boolean mayRunOn(double now, ActiveRequest active, Attempt ran, HostRecord host) {
+        return repeatable(now, active, ran) && (ran == null || active.cls.spec.effect() != Effect.KEYED
+                || active.cls.spec.scope().together(host.info, ran.host.info));
     }
 
-    private static boolean repeatable(double now, Ask ask, Attempt ran) {
-        RequestClass spec = ask.cls.spec;
+    private static boolean repeatable(double now, ActiveRequest active, Attempt ran) {
+        RequestClass spec = active.cls.spec;
         return ran == null || spec.effect() == Effect.REPEATABLE
-                || spec.effect() == Effect.KEYED && now < ran.sentAt + WINDOW_SHARE * spec.windowMs();
+                || spec.effect() == Effect.KEYED && now < ran.sentAt + KEY_WINDOW_SHARE * spec.windowMs();
     }
 
-    private boolean mayTryAgain(double now, Ask ask) {
-        boolean may = repeatable(now, ask, ask.ran()) && !ask.streaming && now < giveUpAt(ask)
-                && retryTokens >= 1 && ask.attempts.size() < set.limits().maxAttempts();
+    /** Whether a request may have a further attempt, which takes a retry token. */
+    private boolean takeRetryToken(double now, ActiveRequest active) {
+        boolean may = repeatable(now, active, active.firstPossiblyRun()) && !active.streaming
+                && now < giveUpAt(active) && retryTokens >= 1
+                && active.attempts.size() < settings.limits().maxAttempts();
         retryTokens -= may ? 1 : 0;
         return may;
     }
 
-    private void learn(double now, Ask ask, Attempt a, AttemptResult r) {
-        Server s = a.server;
-        ClassState c = ask.cls;
-        // What came while this gateway stood still was read after it: its time says nothing of the host.
-        boolean clear = ownStall(now, a) <= OWN_SHARE * r.latencyMs();
-        account.note(Item.of(r.outcome()));
-        switch (r.outcome()) {
+    /**
+     * Updates latencies and host health from an attempt's end.
+     *
+     * <p>What arrived during a stall of this process was read late, so its latency says nothing about the
+     * host. After a failed connection the host, down or full, is avoided at once. A host that is full without
+     * an attempt of this gateway is avoided at once as well: the load is not of this gateway's making, since
+     * the host drains or other gateways fill it. As an idle host it would win each comparison, and each
+     * gateway of a large tier learns this for itself.
+     */
+    private void learn(double now, ActiveRequest active, Attempt attempt, AttemptResult result) {
+        HostRecord host = attempt.host;
+        ClassState c = active.cls;
+        boolean clear = ownStallMs(now, attempt) <= MAX_OWN_STALL_SHARE * result.latencyMs();
+        counters.note(Item.of(result.outcome()));
+        switch (result.outcome()) {
             case OK -> {
-                s.of(c).judge(now, 1, FAILED_GAIN, SLOW_FADE_MS);
+                host.slownessOf(c).update(now, 1, FAILURE_SAMPLE_WEIGHT, SLOWNESS_FADE_MS);
                 if (clear) {
-                    s.health.judge(now, r.latencyMs() / Math.max(1, a.work), SLOW_GAIN, SLOW_FADE_MS);
-                    double perUnit = r.latencyMs() / Math.max(0.1, ask.request.units());
+                    host.slowness.update(now, result.latencyMs() / Math.max(1, attempt.expectedMs),
+                            LATENCY_SAMPLE_WEIGHT, SLOWNESS_FADE_MS);
+                    double perUnit = result.latencyMs() / Math.max(0.1, active.request.units());
                     c.samples++;
-                    c.latencyPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyPerUnit);
-                    c.noteDelay(0, r.latencyMs());
+                    c.latencyMsPerUnit += Math.max(0.03, 1.0 / c.samples) * (perUnit - c.latencyMsPerUnit);
+                    c.recordDelay(0, result.latencyMs());
                 }
-                if (ask.customer != null && set.sharing().postPaid() && r.trueUnits() > 0) {
-                    ask.customer.charge(r.trueUnits() - ask.request.units(), 0, DEMAND_MS);
+                if (active.customer != null && settings.sharing().postPaid() && result.usedUnits() > 0) {
+                    active.customer.charge(result.usedUnits() - active.request.units(), 0, DEMAND_WINDOW_MS);
                 }
             }
-            // No connection: down or full, the host takes nothing from us now; one is enough.
-            case CONNECT_FAILED -> s.health.judge(now, SLOW_MAX, 1, SLOW_FADE_MS);
-            // With nothing of ours there it is no crowd of our making: it drains, or others fill it. An idle
-            // host would else win every comparison, and each gateway of a large tier learns for itself.
+            case CONNECT_FAILED -> host.slowness.update(now, MAX_SLOWNESS, 1, SLOWNESS_FADE_MS);
             case FULL -> {
-                boolean idle = s.out.isEmpty();
-                s.health.judge(now, idle ? SLOW_MAX : BAD_ANSWER, idle ? 1 : FAILED_GAIN, SLOW_FADE_MS);
+                boolean idle = host.attempts.isEmpty();
+                host.slowness.update(now, idle ? MAX_SLOWNESS : FULL_HOST_SLOWNESS,
+                        idle ? 1 : FAILURE_SAMPLE_WEIGHT, SLOWNESS_FADE_MS);
             }
-            case ERROR, RESET, TIMEOUT -> s.of(c).judge(now, SLOW_MAX, FAILED_GAIN, SLOW_FADE_MS);
+            case ERROR, RESET, TIMEOUT ->
+                    host.slownessOf(c).update(now, MAX_SLOWNESS, FAILURE_SAMPLE_WEIGHT, SLOWNESS_FADE_MS);
             default -> { }
         }
-        if (clear && (r.outcome() == Outcome.OK || r.outcome() == Outcome.TIMEOUT)) {
-            latencySum += r.latencyMs(); // a time-out is an answer at least that late
-            baseSum += c.base * ask.request.units();
-            aimShareSum += r.latencyMs() / c.spec.aimMs();
-            answers++;
+        if (clear && (result.outcome() == Outcome.OK || result.outcome() == Outcome.TIMEOUT)) {
+            latencySumMs += result.latencyMs(); // a timeout is an answer that takes at least that long
+            baselineSumMs += c.baselineMsPerUnit * active.request.units();
+            goalShareSum += result.latencyMs() / c.spec.aimMs();
+            latencySamples++;
+        }
+        if (active.customer != null && !settings.limits().peers()) {
+            active.customer.applyMeterReading(now, result.quotaUsedPct(), EVEN_DEMAND_SHARE);
         }
-        if (ask.customer != null && !set.limits().peers()) ask.customer.meter(now, r.usedPct(), EVEN_PRIOR);
     }
 
-    private void watchHealth(double now) {
-        for (Server s : new ArrayList<>(watched)) {
-            for (Attempt a : new ArrayList<>(s.out)) {
-                double expected = a.work * Math.max(1, s.health.slowness(now, SLOW_FADE_MS));
-                double waited = now - a.sentAt - ownStall(now, a);
-                if (a.overdue || a.ask.streaming || waited <= SILENT_AFTER * expected + QUIET_MS) continue;
+    /**
+     * Counts overdue attempts against their hosts, and cancels those whose request may run elsewhere in time.
+     */
+    private void handleOverdueAttempts(double now) {
+        for (HostRecord host : new ArrayList<>(busyHosts)) {
+            for (Attempt a : new ArrayList<>(host.attempts)) {
+                double expected = a.expectedMs * Math.max(1, host.slowness.factor(now, SLOWNESS_FADE_MS));
+                double waited = now - a.sentAt - ownStallMs(now, a);
+                if (a.overdue || a.active.streaming
+                        || waited <= OVERDUE_LATENCY_FACTOR * expected + OVERDUE_MARGIN_MS) continue;
                 a.overdue = true;
-                s.of(a.ask.cls).judge(now, SLOW_MAX, FAILED_GAIN, SLOW_FADE_MS);
-                boolean useful = !a.ask.done && now + a.work < giveUpAt(a.ask);
-                boolean safe = a.ask.cls.spec.effect() != Effect.ONCE && set.limits().cancel();
-                if (useful && safe && retryTokens >= 1) act.cancel(a.ask.request.id(), a.number);
+                host.slownessOf(a.active.cls).update(now, MAX_SLOWNESS, FAILURE_SAMPLE_WEIGHT,
+                        SLOWNESS_FADE_MS);
+                boolean useful = !a.active.closed && now + a.expectedMs < giveUpAt(a.active);
+                boolean safe = a.active.cls.spec.effect() != Effect.ONCE && settings.limits().cancel();
+                if (useful && safe && retryTokens >= 1) actions.cancel(a.active.request.id(), a.number);
             }
         }
     }
 
-    private void sweep(double now) {
-        if (now - sweptAt < SWEEP_MS) return;
-        sweptAt = now;
-        customers.values().removeIf(c -> now - c.touchedAt > EngineState.forgetMs(c.plan)
-                && c.open == 0 && c.pending.isEmpty());
-        servers.values().removeIf(s -> !s.listed && s.out.isEmpty());
+    private void evictIdle(double now) {
+        if (now - evictedAt < EVICTION_INTERVAL_MS) return;
+        evictedAt = now;
+        customers.values().removeIf(c -> now - c.refilledAt > EngineState.idleEvictionMs(c.plan)
+                && c.openRequests == 0 && c.pending.isEmpty());
+        hostsById.values().removeIf(h -> !h.listed && h.attempts.isEmpty());
     }
 }
--- a/gateway/src/main/java/marlford/gateway/EngineApi.java
+++ b/gateway/src/main/java/marlford/gateway/EngineApi.java
@@ -2,155 +2,258 @@
 
 import java.util.List;
 
-/** What the decision module is told and what it can do: settings, events and actions. No decision lives here. */
+/**
+ * The interface of the {@link DecisionEngine}: its settings, the events that it gets and the actions that it takes. It contains no
+ * decisions. Times are in milliseconds.
+ */
 public final class EngineApi {
     private EngineApi() { }
 
-    /** What repeating a request of a class does. */
+    /** What repeating a request of a class does: no harm, no harm with the same idempotency key, or harm. */
     public enum Effect { REPEATABLE, KEYED, ONCE }
 
-    /** The hosts that drop repeats of one key. */
+    /** The hosts that detect a repeat of an idempotency key among each other. */
     public enum Scope {
         ALL, ZONE, CELL;
 
-        /** True where both hosts drop repeats of the same keys. */
+        /** True where both hosts detect repeats of the same keys. */
         public boolean together(Host a, Host b) {
             return this == ALL || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
         }
     }
 
+    /** A host's state as reported by discovery. */
     public enum HostState { RUNNING, DRAINING, GONE }
 
-    /** How a list of hosts is to be read: changes, all, what was held before a restart, or none (a call failed). */
+    /**
+     * How a list of hosts is to be read: as changes only, as the complete list, as the complete list from before a restart, or
+     * as no list since the discovery call failed.
+     */
     public enum ListKind { CHANGES, FULL, CACHED, FAILED }
 
-    /** How an attempt, a probe or a counter call ended; SPOILT: an answer came that can't be read. */
+    /** How an attempt, a probe or a counter call ended. SPOILT: an answer arrived that cannot be parsed. */
     public enum Outcome {
         OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT, SPOILT,
-        /** Never left, for reasons of this gateway's machine: no word on the host. */
+        /** Not sent for reasons of this gateway's machine. It says nothing about the host. */
         UNSENT;
 
-        /** True where the outcome proves that the host never ran the request. */
+        /** True where the outcome proves that the host did not run the request. */
         public boolean neverRan() {
             return this == FULL || this == CONNECT_FAILED || this == MOOT || this == UNSENT;
         }
     }
 
+    /**
+     * A class of requests.
+     *
+     * @param scope hosts among which a keyed request may be repeated
+     * @param windowMs how long hosts remember an idempotency key
+     * @param aimMs latency goal
+     * @param deadlineMs hard limit of the time to answer
+     * @param worth value of an answer within the goal
+     * @param lateValue value of an answer after the goal
+     * @param streaming responses are long, and their hosts work until the last byte
+     */
     public record RequestClass(String name, Effect effect, Scope scope, double windowMs, double aimMs,
             double deadlineMs, double worth, double lateValue, boolean streaming) { }
 
-    /** A plan's quotas, for each customer over all gateways; a figure of 0 means that there is no such limit. */
-    public record Plan(String name, double rate, double burst, int openLimit, double price, double overWorth,
-            double overCost, double ceilingRate, double ceilingBurst, double ceilingSlack) {
-        /** True where what goes beyond the quota earns at least what it costs. */
+    /**
+     * A plan's limits for each customer over all gateways; a value of 0 means that there is no such limit.
+     *
+     * @param rate quota, in units per second
+     * @param burst size of the quota's token bucket, in units
+     * @param openLimit open requests at a time
+     * @param price factor of the value of the plan's requests
+     * @param excessValue value of use beyond the quota
+     * @param excessCost cost of use beyond the quota
+     * @param ceilingRate ceiling that is never exceeded, in units per second
+     * @param ceilingBurst size of the ceiling's token bucket, in units
+     * @param ceilingSlack tolerance, in units, when use is compared with the ceiling
+     */
+    public record Plan(String name, double rate, double burst, int openLimit, double price, double excessValue,
+            double excessCost, double ceilingRate, double ceilingBurst, double ceilingSlack) {
+        /** True where use beyond the quota earns at least what it costs. */
         public boolean excessPays() {
-            return overWorth > 0 && overWorth >= overCost;
+            return excessValue > 0 && excessValue >= excessCost;
         }
     }
 
+    /**
+     * What the gateway may do.
+     *
+     * @param maxAttempts attempts for one request
+     * @param duplicates a second attempt may be sent while the first is in flight
+     * @param cancel attempts can be cancelled
+     * @param probes hosts can be probed
+     * @param peers gateways can send messages to each other
+     * @param retryAfter a refusal can name a time after which a retry is welcome
+     */
     public record Limits(int maxAttempts, boolean duplicates, boolean cancel, boolean probes, boolean peers,
             boolean retryAfter, double maxRetryAfterMs) { }
 
+    /**
+     * Parameters of the rules that hold whatever else happens.
+     *
+     * @param answerSlackMs tolerance for answers after a deadline
+     * @param drainGraceMs time for which a host may still get requests after it is reported to be draining
+     * @param fallMultiple multiple of its capacity beyond which a host is overloaded
+     * @param fallMs window over which that is counted
+     * @param coldFrom share of its capacity that a host has right after its start
+     * @param warmWithinMs time from its start until a host has its full capacity
+     * @param askWithinMs as set; the engine does not use it
+     */
     public record Rules(double answerSlackMs, double drainGraceMs, double fallMultiple, double fallMs,
             double coldFrom, double warmWithinMs, double askWithinMs) { }
 
-    /** Where gateways may learn of each other, and what one costs. */
+    /**
+     * How gateways can share what they know, and what that costs.
+     *
+     * @param counter a shared counter is available, at {@code counterPrice} for each call
+     * @param meterPeriodMs period of the usage meter
+     * @param postPaid the units of a request are known only from its answer
+     * @param maxUnits of one request
+     * @param mailPerSecond messages that a gateway accepts per second
+     * @param peerPrice cost of a message between gateways
+     * @param probePrice cost of a probe
+     * @param zonePrice cost of a request that crosses zones
+     */
     public record Sharing(boolean counter, double counterPrice, double meterPeriodMs, boolean postPaid,
             double maxUnits, double mailPerSecond, double peerPrice, double probePrice, double zonePrice) { }
 
+    /**
+     * All settings of one engine.
+     *
+     * @param seed of its random choices
+     * @param me number of this gateway, from 0 and below {@code gateways}
+     * @param gateways in the tier
+     * @param subscribe discovery must be called for hosts; otherwise lists arrive without a call
+     * @param reportNames names of the values in {@code report} arrays
+     */
     public record Settings(long seed, int me, int gateways, String zone, boolean subscribe,
             List<RequestClass> classes, List<Plan> plans, List<String> reportNames, Limits limits, Rules rules,
             Sharing sharing) { }
 
+    /**
+     * A host as reported by discovery.
+     *
+     * @param cell group of hosts within the zone
+     * @param rating capacity rating; the engine does not use it
+     * @param startedMs wall clock time of the host's start; 0 where that is long ago or not known
+     */
     public record Host(String id, String zone, String kind, int cell, HostState state, double rating,
             double startedMs) { }
 
     /**
-     * A request, waiting since {@code arrivedMs}: {@code spread} gateways from number {@code first} on, counted round, may
-     * receive the customer. The rest of its body may take {@code restMs}, on its way to the host, before it counts.
+     * A client's request, waiting since {@code arrivedMs}. The customer's requests may arrive at {@code spread} gateways of
+     * consecutive numbers from {@code first} on; after the last gateway of the tier follows number 0.
+     *
+     * @param retry the client has sent the request before
+     * @param units of the customer's quota that the request uses
+     * @param bodyTimeMs how long the rest of its body may take, while it is sent on to the host, before its time counts
      */
     public record Request(String id, double deadlineMs, double arrivedMs, boolean retry, String requestClass, long customer,
-            String plan, double units, int first, int spread, double restMs) {
-        /** A request that is here with its last byte. */
+            String plan, double units, int first, int spread, double bodyTimeMs) {
+        /** A request that has arrived completely. */
         public Request(String id, double deadlineMs, double arrivedMs, boolean retry, String requestClass,
                 long customer, String plan, double units, int first, int spread) {
             this(id, deadlineMs, arrivedMs, retry, requestClass, customer, plan, units, first, spread, 0);
         }
     }
 
-    /** How an attempt ended; {@code usedPct} is 0 and {@code trueUnits} is 0 where nothing was told. */
+    /**
+     * How an attempt ended.
+     *
+     * @param attempt number among the request's attempts, from 0
+     * @param closed the request has its final answer
+     * @param quotaUsedPct percentage of the customer's quota that all gateways used; 0 where none was reported
+     * @param usedUnits units that the request used; 0 where that was not reported
+     * @param report load values of the host, in the order of {@link Settings#reportNames}
+     */
     public record AttemptResult(String id, int attempt, String host, Outcome outcome, double latencyMs,
-            boolean closed, int usedPct, double trueUnits, double[] report) { }
+            boolean closed, int quotaUsedPct, double usedUnits, double[] report) { }
 
-    /** Everything that a gateway sees; {@code now} is the only clock, in milliseconds. */
+    /** The events of an engine. The argument {@code now}, in milliseconds, is its only clock. */
     public interface Events {
+        /** The first event, sent once. */
         void onStart(double now, Settings settings);
 
+        /** Discovery has reported hosts; {@code kind} tells how to read the list. */
         void onHosts(double now, ListKind kind, List<Host> hosts);
 
         void onRequest(double now, Request request);
 
+        /** The response of an attempt has begun to arrive. */
         void onStreamStarted(double now, String id, int attempt);
 
         void onAttemptEnded(double now, AttemptResult result);
 
+        /** The client has disconnected or abandoned the request. */
         void onClientLeft(double now, String id);
 
+        /** A timer set by {@link Actions#startTimer} has expired. */
         void onTimer(double now, String token);
 
+        /** A probe has ended; {@code now} is when it was sent, by this gateway or another. */
         void onProbeResult(double now, String host, Outcome outcome, double latencyMs, double[] report);
 
+        /** A message of another gateway has arrived. */
         void onPeerMessage(double now, int peer, byte[] data);
 
+        /** A call to a shared counter has ended. */
         void onCounterResult(double now, String counter, Outcome outcome, double total);
 
         /**
-         * No earlier life of this gateway has spent anything since then, on the clock of {@code now}; told once, right
-         * after {@link #onStart}, and only where that is certain.
+         * No earlier incarnation of this gateway has spent anything since {@code since}, on the clock of {@code now}. Sent
+         * once, right after {@link #onStart}, and only where that is certain.
          */
         default void onNoOtherSpenderSince(double now, double since) { }
 
         /**
-         * Another process serves in this one's place: what fills from now on is its, and no peer is heard. What is
-         * open here, and what still comes, is decided by what was saved.
+         * Another process has taken over this one's place. What fills from now on belongs to that process, and no peer
+         * message arrives here. Requests that are open here or still arrive are decided by what was saved.
          */
         default void onReplaced(double now) { }
 
-        /** The other process is gone, with what filled meanwhile. */
+        /** The other process has ended, and what filled meanwhile is lost with it. */
         default void onRestored(double now) { }
 
-        /** This gateway ends within some hundred milliseconds: peers are to turn to others. */
+        /** This gateway ends within some hundred milliseconds; peers should turn to other gateways. */
         default void onShutdown(double now) { }
 
-        /** What it did since it was last asked, by cause, and what is open now: one line for the log. */
+        /** One log line: what the engine did since the last call, by cause, and what is open now. */
         default String takeActivityLine(double now) {
             return "";
         }
 
-        /** How many hosts of the list get nothing now, or as little as may be; changes nothing. */
+        /** How many listed hosts get no requests now, or as few as possible. The call changes nothing. */
         default int avoidedHostCount(double now) {
             return 0;
         }
     }
 
-    /** Everything that a gateway can do. */
+    /** The actions that an engine can take. */
     public interface Actions {
+        /** Sends an attempt of a request to a host; a timeout of 0 means the request's deadline. */
         void send(String id, String host, double timeoutMs);
 
         void cancel(String id, int attempt);
 
+        /** Answers a request that was not served and may be retried; 0 names no time for that. */
         void refuse(String id, double retryAfterMs);
 
+        /** Answers a request that was not served and may have run. */
         void fail(String id);
 
         void startTimer(double delayMs, String token);
 
         void probe(String host);
 
+        /** Sends a message to the gateway of that number, or to all others for -1. */
         void sendToPeer(int peer, byte[] data);
 
         void addToCounter(String counter, double amount, double lifetimeMs);
 
+        /** Calls discovery for the list of hosts. */
         void watchHosts();
     }
 }
--- a/gateway/src/main/java/marlford/gateway/EngineState.java
+++ b/gateway/src/main/java/marlford/gateway/EngineState.java
@@ -19,347 +19,385 @@
 import marlford.gateway.quota.QuotaCoordinator;
 import marlford.gateway.quota.QuotaMessage;
 
-/** What one gateway remembers: plain fields and look-ups, no decision; DecisionEngine alone reads meaning into them. */
+/**
+ * The mutable state of one {@link DecisionEngine}: plain fields and look-ups without decisions. Times are in milliseconds on the
+ * clock of the engine's events. Not thread-safe; it belongs to the engine's event loop.
+ */
 final class EngineState {
+    /** In the place of a time: it has not happened yet. */
     static final double NEVER = Double.NEGATIVE_INFINITY;
-    static final int EVERYONE = -1; // in the place of a peer
-    static final double SLOW_MAX = 12; // largest slowness that is believed
-    static final double FORGET_MS = 20_000; // idle so long a customer is forgotten, and not before
-    private static final double FILLED = 2; // times the time in which its slowest store fills from nothing
+    /** In the place of a peer's number: a message to all peers. */
+    static final int ALL_PEERS = -1;
+    /** Upper limit of a slowness factor; larger measured ratios are clamped to it. */
+    static final double MAX_SLOWNESS = 12;
+    /** Shortest time without requests after which a customer's state may be evicted. */
+    static final double MIN_IDLE_EVICTION_MS = 20_000;
+    private static final double EVICTION_REFILL_MULTIPLE = 2; // of the time in which the slowest bucket fills from empty
 
     private EngineState() { }
 
-    /** From then on an idle customer's stores are as full as those of a new one: forgetting gives nothing. */
-    static double forgetMs(Plan p) {
-        double quota = p.rate() > 0 ? p.burst() / p.rate() : 0;
-        double ceiling = p.ceilingRate() > 0 ? p.ceilingBurst() / p.ceilingRate() : 0;
-        return Math.max(FORGET_MS, FILLED * 1000 * Math.max(quota, ceiling));
+    /**
+     * How long a customer must be idle before its state is evicted. By then its buckets are as full as those of a new
+     * customer, so eviction grants no units.
+     */
+    static double idleEvictionMs(Plan plan) {
+        double quota = plan.rate() > 0 ? plan.burst() / plan.rate() : 0;
+        double ceiling = plan.ceilingRate() > 0 ? plan.ceilingBurst() / plan.ceilingRate() : 0;
+        return Math.max(MIN_IDLE_EVICTION_MS, EVICTION_REFILL_MULTIPLE * 1000 * Math.max(quota, ceiling));
     }
 
-    /** The gateways of a set that stand first by the hash of a thing: each gateway finds the same by itself. */
-    static int[] ranked(long thing, int first, int spread, int gateways, int count) {
-        int[] found = new int[spread];
-        long[] hashes = new long[spread];
-        for (int i = 0; i < spread; i++) {
-            int g = Math.floorMod(first + i, gateways);
-            long hash = mixed(thing * 31 + mixed(g));
+    /**
+     * Rendezvous hashing: the gateways of a set that rank first for a key. Every gateway computes the same result without
+     * communication.
+     *
+     * @param firstGateway number of the set's first gateway; the set wraps around at the end of the tier
+     * @param setSize gateways in the set
+     * @param gateways gateways in the tier
+     * @param count gateways to return, at most; best rank first
+     */
+    static int[] rendezvousRanked(long key, int firstGateway, int setSize, int gateways, int count) {
+        int[] ranked = new int[setSize];
+        long[] hashes = new long[setSize];
+        for (int i = 0; i < setSize; i++) {
+            int gateway = Math.floorMod(firstGateway + i, gateways);
+            long hash = mixBits(key * 31 + mixBits(gateway));
             int at = i;
             for (; at > 0 && hashes[at - 1] > hash; at--) {
-                found[at] = found[at - 1];
+                ranked[at] = ranked[at - 1];
                 hashes[at] = hashes[at - 1];
             }
-            found[at] = g;
+            ranked[at] = gateway;
             hashes[at] = hash;
         }
-        return Arrays.copyOf(found, Math.min(spread, count));
+        return Arrays.copyOf(ranked, Math.min(setSize, count));
     }
 
-    private static long mixed(long x) {
+    private static long mixBits(long x) {
         long h = (x ^ x >>> 32) * 0x9E3779B97F4A7C15L;
         return (h ^ h >>> 29) * 0xBF58476D1CE4E5B9L ^ h >>> 32;
     }
 
-    /** A class's queue, its place in the fair turns, its delay and its slope. */
+    /** One request class: its queue, its weight and virtual time in fair queueing, and its latency and delay averages. */
     static final class ClassState {
         final RequestClass spec;
-        final ArrayDeque<Ask> queue = new ArrayDeque<>();
-        double weight;
-        double turn;
-        double latencyPerUnit;
-        double base;
-        int samples;
-        double releasedAt = NEVER;
-        double releaseGap;
-        double delay;
-        double tickDelay;
-        int tickCount;
-        double slope; // magnitude: delay lost for each unit of weight gained; 0 = not known yet
-        double markDelay;
-        double markWeight;
+        final ArrayDeque<ActiveRequest> queue = new ArrayDeque<>();
+        double weight; // share of all classes; the weights sum to 1
+        double virtualTime; // expected work released so far divided by weight; the lowest is released next
+        double latencyMsPerUnit; // average
+        double baselineMsPerUnit; // lowest recent average: latency without queueing at the hosts
+        int samples; // answers in the average
+        double lastReleaseAt = NEVER; // NEVER also while the queue is empty
+        double meanReleaseGapMs; // between releases while the queue is not empty
+        double averageDelayMs; // of queueing and serving; input of the weights
+        double intervalDelaySumMs; // since the average was last updated
+        int intervalRequests; // the requests of that sum
+        double delaySlope; // magnitude: delay lost for each unit of weight gained; 0 = not known yet
+        double slopeStartDelayMs; // delay and weight at the start of the present slope measurement
+        double slopeStartWeight;
 
         ClassState(RequestClass spec) {
             this.spec = spec;
         }
 
-        /** A request that left has no latency yet, an answer no wait. */
-        void noteDelay(double hold, double latency) {
-            tickDelay += hold + latency;
-            tickCount += latency > 0 ? 0 : 1;
+        /** Adds queueing time or latency. Latency 0 marks a request's release, which counts the request once. */
+        void recordDelay(double queuedMs, double latencyMs) {
+            intervalDelaySumMs += queuedMs + latencyMs;
+            intervalRequests += latencyMs > 0 ? 0 : 1;
         }
     }
 
-    /** What is known of a peer gateway, and what waits to be told to it. */
+    /** What is known of a peer gateway, and what is queued to be sent to it. */
     static final class Peer {
         final int number;
-        final LinkedHashSet<Customer> tells = new LinkedHashSet<>(); // to it as a keeper
-        final LinkedHashSet<Customer> answers = new LinkedHashSet<>(); // to it by this gateway as a keeper
-        boolean waiting; // stands in the outbox
-        final PeerIncarnation life = new PeerIncarnation();
-        int serial; // of the last message to it
-        int heardSerial;
-        double toldAt = NEVER;
-        double silentTill = NEVER;
-        double roundAt = NEVER; // when it last told all
-        double sharedAt = NEVER; // when a ceiling was seen to of which both are keepers
+        final LinkedHashSet<Customer> reports = new LinkedHashSet<>(); // due to the peer, a ledger replica
+        final LinkedHashSet<Customer> replies = new LinkedHashSet<>(); // due to the peer from the ledger kept here
+        boolean inSendQueue;
+        final PeerIncarnation incarnation = new PeerIncarnation();
+        int sentSerial; // of the last message to it
+        int receivedSerial; // of the last message from it
+        double lastSentAt = NEVER;
+        double unresponsiveUntil = NEVER;
+        double lastBroadcastAt = NEVER; // when its last usage broadcast arrived
+        double ceilingSharedAt = NEVER; // when a ceiling of which both gateways are replicas was last updated
 
         Peer(int number) {
             this.number = number;
         }
 
-        /** Whether a message is news: not overtaken on the way, told twice, or of a life before its sender's. */
-        boolean hears(double now, int saidLife, int heard) {
-            boolean sameLife = life.isKnown() && saidLife == life.number();
-            boolean late = sameLife && !LedgerMessage.after(heard, heardSerial);
-            if (!life.hears(now, saidLife) || late) return false;
-            heardSerial = heard;
+        /**
+         * Whether to process a message: false for a message that arrives out of order or twice, or is of an earlier
+         * incarnation of its sender.
+         */
+        boolean accepts(double now, int senderIncarnation, int serial) {
+            boolean sameIncarnation = incarnation.isKnown() && senderIncarnation == incarnation.number();
+            boolean late = sameIncarnation && !LedgerMessage.after(serial, receivedSerial);
+            if (!incarnation.hears(now, senderIncarnation) || late) return false;
+            receivedSerial = serial;
             return true;
         }
     }
 
-    /** What a gateway of a customer's set and its keeper know of each other; starts anew with either's life. */
-    static final class Member {
-        int epoch;
-        boolean known;
-        int used; // as its broadcasts say it
-        double booked;
-        double granted;
-        double demand;
-        double demandAt;
-        int open;
-        double given;
-        double taken;
-
-        /** Its demand as it is by now, if it told nothing further. */
-        double demand(double now, double averagedMs) {
-            return demand * Math.exp(-(now - demandAt) / averagedMs);
+    /**
+     * What this gateway and one peer have reported to each other on one customer. It is replaced by an empty one when
+     * either process starts a new incarnation.
+     */
+    static final class PeerUsage {
+        int incarnation; // of the peer
+        boolean known; // a report of this incarnation has arrived
+        int usedField; // running total as encoded in the peer's broadcasts
+        double bookedUnits; // running total of quota units booked in the ledger for the peer
+        double grantedUnits; // part of it that was granted in advance by the last reply
+        double demand; // in units per second
+        double demandAt; // when that demand was reported
+        int openRequests;
+        double ceilingUnitsGiven; // running total of ceiling units given to the peer
+        double ceilingUnitsTaken; // running total of ceiling units received from the peer
+
+        /** The peer's demand now, decayed from its last report. */
+        double demand(double now, double averagingMs) {
+            return demand * Math.exp(-(now - demandAt) / averagingMs);
         }
 
-        /** Units that its broadcasts' total has grown by; all of it where the total is new or began anew. */
-        double usedSince(int total) {
-            double since = known ? UsageMessage.ahead(total, used) : -1;
+        /** Units by which the broadcast total has grown since the last one; the whole total if it is new or was reset. */
+        double usedSinceLastReport(int total) {
+            double since = known ? UsageMessage.ahead(total, usedField) : -1;
             known = true;
-            used = total;
+            usedField = total;
             return since < 0 ? UsageMessage.units(total) : since;
         }
     }
 
-    /** One customer's stores here; as its keeper, also what the others of its set told. */
+    /** One customer's token buckets at this gateway and, where it is a ledger replica, what the peers reported. */
     static final class Customer {
         final long id;
         final int planNumber;
         final Plan plan;
-        int first;
-        int spread; // gateways of its set; 0 while only peers have spoken of it
-        int[] keepers = {}; // gateways of its set, the first in charge
-        final Map<Integer, Member> members = new TreeMap<>();
-        final ArrayDeque<Ask> pending = new ArrayDeque<>(); // requests that wait for a keeper's word
-        double tokens; // the own bucket
-        double level; // the whole store: as a keeper what is booked, else the most that it can hold
-        double ceiling;
-        double leasedSince; // when what is leased of the ceiling came here, or TwoPartyLeases.NOT
-        final QuotaTransfers loans = new QuotaTransfers(); // of its ceiling
-        double touchedAt;
-        double demand;
-        double others; // demand of the other gateways
-        int othersOpen;
-        double used;
-        private double usedMost;
-        double unsent; // ceiling units let in whose requests have not left yet
-        double newsAt = NEVER; // when a keeper last told
-        double toldAt = NEVER;
-        boolean informed; // as a keeper: knows what was used before its start
-        double meterPart;
-        double meterAt = NEVER;
-        double useRate;
-        int open;
+        int firstGateway; // the customer's set: gateways that may receive its requests
+        int setSize; // 0 while the customer is known from peers only
+        int[] replicas = {}; // gateways of the set that hold the ledger, the primary first
+        final Map<Integer, PeerUsage> usageByPeer = new TreeMap<>();
+        final ArrayDeque<ActiveRequest> pending = new ArrayDeque<>(); // requests that wait for a replica's reply
+        double localTokens; // this gateway's part of the quota
+        double quotaLevel; // the whole quota bucket: as booked at a ledger replica, elsewhere an upper limit
+        double ceilingTokens; // this gateway's part of the ceiling
+        double leaseHeldSince; // when the leased part of the ceiling was acquired, or TwoPartyLeases.NOT
+        final QuotaTransfers transfers = new QuotaTransfers(); // of ceiling units
+        double refilledAt;
+        double demand; // at this gateway, in units per second, averaged
+        double othersDemand; // of the other gateways, in units per second
+        int othersOpenRequests;
+        double used; // units, as a running total
+        private double maxUsedUnits;
+        double unsentCeilingUnits; // admitted, while the request has not been sent to a host yet
+        double lastReportAt = NEVER; // when a replica or a broadcast last reported on this customer
+        double lastQueuedAt = NEVER; // when a report on this customer was last queued for a replica
+        boolean historyKnown; // at a ledger replica: it knows what was used before its start
+        double meteredShare; // of the quota, derived from a usage meter where there are no peer messages
+        double meteredAt = NEVER;
+        double usagePerSecond;
+        int openRequests;
 
         Customer(long id, int planNumber, Plan plan, double now) {
             this.id = id;
             this.planNumber = planNumber;
             this.plan = plan;
-            this.touchedAt = now;
+            this.refilledAt = now;
         }
 
         QuotaMessage.Named named() {
-            return new QuotaMessage.Named(id, planNumber, first, spread);
+            return new QuotaMessage.Named(id, planNumber, firstGateway, setSize);
         }
 
-        /** What is known between this gateway and a peer on this customer, new for each life of the peer. */
-        Member member(Peer peer) {
-            Member m = members.get(peer.number);
-            if (m == null || m.epoch != peer.life.number()) {
-                othersOpen -= m == null ? 0 : m.open;
-                m = new Member();
-                m.epoch = peer.life.number();
-                members.put(peer.number, m);
+        /** What this gateway and a peer have reported to each other, empty for each new incarnation of the peer. */
+        PeerUsage usageOf(Peer peer) {
+            PeerUsage usage = usageByPeer.get(peer.number);
+            if (usage == null || usage.incarnation != peer.incarnation.number()) {
+                othersOpenRequests -= usage == null ? 0 : usage.openRequests;
+                usage = new PeerUsage();
+                usage.incarnation = peer.incarnation.number();
+                usageByPeer.put(peer.number, usage);
             }
-            return m;
+            return usage;
         }
 
-        /** The most that was ever used, which falls with nothing that is given back. */
-        double usedAtMost() {
-            usedMost = Math.max(usedMost, used);
-            return usedMost;
+        /** The highest total of used units so far; returned units do not lower it. */
+        double maxUsedUnits() {
+            maxUsedUnits = Math.max(maxUsedUnits, used);
+            return maxUsedUnits;
         }
 
-        /** Takes units from the quota's and the ceiling's stores, or gives them back where negative. */
-        void charge(double units, double ceilingUnits, double averagedMs) {
-            tokens = Math.max(tokens - units, -plan.burst() / spread);
-            level = Math.max(-plan.burst(), Math.min(plan.burst(), level - units));
+        /** Takes units from the buckets of the quota and of the ceiling, or returns them where negative. */
+        void charge(double units, double ceilingUnits, double averagingMs) {
+            localTokens = Math.max(localTokens - units, -plan.burst() / setSize);
+            quotaLevel = Math.max(-plan.burst(), Math.min(plan.burst(), quotaLevel - units));
             used += units;
-            useRate += units / averagedMs * 1000;
-            unsent += ceilingUnits;
-            ceiling -= ceilingUnits;
+            usagePerSecond += units / averagingMs * 1000;
+            unsentCeilingUnits += ceilingUnits;
+            ceilingTokens -= ceilingUnits;
         }
 
-        /** Takes in what a meter tells: the share of the quota that all used, where no peers can be asked. */
-        void meter(double now, int usedPct, double step) {
+        /**
+         * Applies a usage meter's reading: the percentage of the quota that all gateways used. It is the only source
+         * of the others' use where peer messages are not available.
+         *
+         * @param step amount by which the share may rise while the quota is not used up and demand exceeds it
+         */
+        void applyMeterReading(double now, int usedPct, double step) {
             if (usedPct <= 0 || plan.rate() <= 0) return;
             double total = (usedPct - 1) / 100.0 * plan.rate();
-            double part = total > 0 ? Math.min(1, useRate / total) : 1.0 / spread;
-            boolean rises = total < plan.rate() && demand > part * plan.rate();
-            meterPart = rises ? Math.min(1, Math.max(part, meterPart) + step) : part;
-            meterAt = now;
+            double share = total > 0 ? Math.min(1, usagePerSecond / total) : 1.0 / setSize;
+            boolean rises = total < plan.rate() && demand > share * plan.rate();
+            meteredShare = rises ? Math.min(1, Math.max(share, meteredShare) + step) : share;
+            meteredAt = now;
         }
 
-        /** When the store will have filled enough. */
+        /** Milliseconds until the quota bucket holds that many units; 0 where the plan has no quota. */
         double refillMs(double units) {
-            return plan.rate() > 0 ? 1000 * (units - level) / plan.rate() : 0;
+            return plan.rate() > 0 ? 1000 * (units - quotaLevel) / plan.rate() : 0;
         }
 
+        /** Fill level of the quota bucket as a share of its burst; 1 where the plan has no quota. */
         double fullness() {
-            return plan.burst() > 0 ? level / plan.burst() : 1;
+            return plan.burst() > 0 ? quotaLevel / plan.burst() : 1;
         }
 
         double pendingUnits() {
-            return pending.stream().mapToDouble(a -> a.request.units()).sum();
+            return pending.stream().mapToDouble(active -> active.request.units()).sum();
         }
     }
 
-    /** Units of a customer's ceiling that a peer wants, since it has none left. */
-    record Wish(Customer customer, int peer, int life, int count, double units, double at) { }
-
-    /** How many times slower than usual a host was last taken to be, and when. */
-    static final class Health {
-        double slow = 1;
-        double at;
-
-        /** What is not confirmed fades. */
-        double slowness(double now, double fadeMs) {
-            return 1 + (slow - 1) * Math.exp(-(now - at) / fadeMs);
+    /**
+     * A peer's request for a transfer of ceiling units, since it has none left.
+     *
+     * @param incarnation lowest 16 bits of the peer's incarnation
+     * @param count of the peer's message that asked
+     */
+    record CeilingTransferRequest(Customer customer, int peer, int incarnation, int count, double units,
+            double receivedAt) { }
+
+    /** A decaying estimate of how many times slower than usual a host is; 1 is normal. */
+    static final class SlownessEstimate {
+        double factor = 1; // at the time of the last update
+        double updatedAt;
+
+        /** The estimate now: it decays towards 1 unless new samples confirm it. */
+        double factor(double now, double fadeMs) {
+            return 1 + (factor - 1) * Math.exp(-(now - updatedAt) / fadeMs);
         }
 
-        /** Takes in one answer, that many times slower than usual, with that weight. */
-        void judge(double now, double ratio, double gain, double fadeMs) {
-            slow = slowness(now, fadeMs) + gain * (Math.min(SLOW_MAX, ratio) - slowness(now, fadeMs));
-            at = now;
+        /** Averages in one sample: a ratio to the usual latency, with that weight in the average. */
+        void update(double now, double ratio, double sampleWeight, double fadeMs) {
+            factor = factor(now, fadeMs) + sampleWeight * (Math.min(MAX_SLOWNESS, ratio) - factor(now, fadeMs));
+            updatedAt = now;
         }
 
         /**
-         * Takes in what a probe found, of this gateway or another, unless an answer has told since. A host that can't be
-         * reached is as bad as may be, one that is late as bad as a full one; to be well is worth as much as one answer.
+         * Averages in a probe result of this gateway or of another, unless a newer sample has arrived. An unreachable host
+         * counts as {@link #MAX_SLOWNESS}, one that is late or fails as {@code lateRatio}; a good probe has the weight of
+         * one answer.
          */
-        void probed(double sentAt, Outcome outcome, double late, double gain, double fadeMs) {
-            if (sentAt > at && outcome != Outcome.UNSENT) {
-                judge(sentAt, switch (outcome) {
+        void updateFromProbe(double sentAt, Outcome outcome, double lateRatio, double sampleWeight, double fadeMs) {
+            if (sentAt > updatedAt && outcome != Outcome.UNSENT) {
+                update(sentAt, switch (outcome) {
                     case OK -> 1;
-                    case TIMEOUT, ERROR, FULL, SPOILT -> late;
-                    default -> SLOW_MAX;
-                }, gain, fadeMs);
+                    case TIMEOUT, ERROR, FULL, SPOILT -> lateRatio;
+                    default -> MAX_SLOWNESS;
+                }, sampleWeight, fadeMs);
             }
         }
     }
 
     /** A host as this gateway sees it. */
-    static final class Server {
-        final LinkedHashSet<Attempt> out = new LinkedHashSet<>();
-        final long order; // among all hosts, alike at each gateway; hashed: names in sequence may tell size or zone
+    static final class HostRecord {
+        final LinkedHashSet<Attempt> attempts = new LinkedHashSet<>(); // in flight, each of which holds a slot
+        final long order; // same at each gateway; hashed, since consecutive names may correlate with size or zone
         Host info;
         boolean listed = true;
-        double outWork;
-        final Health health = new Health();
-        private final Map<String, Health> byClass = new TreeMap<>();
-        double toldStartMs; // as discovery told it; 0 for long ago
-        double coldAt = NEVER; // its start on this gateway's clock
+        double workInFlightMs; // expected work of those attempts
+        final SlownessEstimate slowness = new SlownessEstimate();
+        private final Map<String, SlownessEstimate> slownessByClass = new TreeMap<>();
+        double reportedStartMs; // as reported by discovery; 0 for long ago
+        double startedAt = NEVER; // latest possible start on this gateway's clock
 
-        Server(Host info) {
+        HostRecord(Host info) {
             this.info = info;
-            this.order = mixed(info.id().hashCode());
+            this.order = mixBits(info.id().hashCode());
         }
 
-        Health of(ClassState c) {
-            return byClass.computeIfAbsent(c.spec.name(), n -> new Health());
+        SlownessEstimate slownessOf(ClassState cls) {
+            return slownessByClass.computeIfAbsent(cls.spec.name(), n -> new SlownessEstimate());
         }
 
-        boolean open() {
+        boolean acceptsRequests() {
             return listed && info.state() == HostState.RUNNING;
         }
     }
 
+    /** One attempt of a request at a host. */
     static final class Attempt {
-        final Ask ask;
-        final int number;
-        final Server server;
+        final ActiveRequest active;
+        final int number; // among the request's attempts, from 0
+        final HostRecord host;
         final double sentAt;
-        final double work;
-        final double stalled; // own stalls before it was sent, in all
-        boolean out = true;
-        boolean placed; // counts among what its host is doing
+        final double expectedMs; // latency expected when it was sent
+        final double stallMsBefore; // total of this gateway's own stalls before it was sent
+        boolean inFlight = true;
+        boolean holdsSlot; // counts as work of its host
         boolean neverRan;
-        boolean unsent; // it never came whole to the host
+        boolean undelivered; // it never reached the host completely
         boolean overdue;
 
-        Attempt(Ask ask, Server server, double sentAt, double work, double stalled) {
-            this.ask = ask;
-            this.number = ask.attempts.size();
-            this.server = server;
+        Attempt(ActiveRequest active, HostRecord host, double sentAt, double expectedMs, double stallMsBefore) {
+            this.active = active;
+            this.number = active.attempts.size();
+            this.host = host;
             this.sentAt = sentAt;
-            this.work = work;
-            this.stalled = stalled;
+            this.expectedMs = expectedMs;
+            this.stallMsBefore = stallMsBefore;
         }
     }
 
-    /** A request held or under way. */
-    static final class Ask {
+    /** A client's request from its arrival until it is answered and its last attempt has ended. */
+    static final class ActiveRequest {
         final Request request;
         final ClassState cls;
-        final Customer customer;
-        final double arrived;
+        final Customer customer; // null where there is no quota to apply
+        final double arrivedAt;
         final List<Attempt> attempts = new ArrayList<>(2);
         boolean admitted;
-        boolean done;
-        boolean streaming;
-        int stage; // which of the customer's keepers is asked
-        int keeper; // its number
-        int askSerial; // of the message that asked
-        double answerBy; // when its answer counts as missing
-        QuotaCoordinator.Grant grant; // units to give back where none are used
-        double leaveBy = Double.POSITIVE_INFINITY; // its units are good until then
-
-        Ask(Request request, ClassState cls, Customer customer) {
+        boolean closed; // answered, or the client has disconnected
+        boolean streaming; // the response has begun
+        int replicaStage; // index in the customer's replicas of the one that is queried
+        int queriedReplica; // its gateway number
+        int querySerial; // of the message that carries the query
+        double replyDueAt; // when the reply counts as missing
+        QuotaCoordinator.Grant grant; // units to return if they are not used
+        double sendBy = Double.POSITIVE_INFINITY; // its units expire then
+
+        ActiveRequest(Request request, ClassState cls, Customer customer) {
             this.request = request;
             this.cls = cls;
             this.customer = customer;
-            this.arrived = request.arrivedMs();
+            this.arrivedAt = request.arrivedMs();
         }
 
-        /** Time that the class's requests of this size have been taking. */
-        double work() {
-            return cls.latencyPerUnit * Math.max(request.units(), 0.1);
+        /** Expected latency: what requests of this class and size have been taking. */
+        double expectedMs() {
+            return cls.latencyMsPerUnit * Math.max(request.units(), 0.1);
         }
 
-        /** The first attempt not known never to have run, or null. */
-        Attempt ran() {
-            return attempts.stream().filter(a -> !a.neverRan).findFirst().orElse(null);
+        /** The first attempt that may have run, or null if all are known not to have run. */
+        Attempt firstPossiblyRun() {
+            return attempts.stream().filter(attempt -> !attempt.neverRan).findFirst().orElse(null);
         }
 
-        /** Whether an attempt may have come whole to a host. */
-        boolean leftWhole() {
-            return attempts.stream().anyMatch(a -> !a.unsent);
+        /** Whether an attempt may have reached a host completely. */
+        boolean mayHaveReachedHost() {
+            return attempts.stream().anyMatch(attempt -> !attempt.undelivered);
         }
 
-        boolean anyOut() {
-            return attempts.stream().anyMatch(a -> a.out);
+        boolean hasAttemptInFlight() {
+            return attempts.stream().anyMatch(attempt -> attempt.inFlight);
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/Main.java
+++ b/gateway/src/main/java/marlford/gateway/Main.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /**
- * The command line: {@code serve} is one real api gateway, {@code wirehost} the module on the simulator's wire,
- * {@code rehearse} a short run of the former for the build.
+ * The command line: {@code serve} runs a gateway, {@code rehearse} runs it for a short time for the build, and {@code wirehost} runs
+ * decision engines for the simulator.
  */
 public final class Main {
-    private static final int USAGE = 2;
+    private static final int USAGE_EXIT_STATUS = 2;
 
     private Main() { }
 
@@ -19,7 +19,7 @@
             case "wirehost" -> marlford.gateway.wire.Main.main(args);
             default -> {
                 System.err.println("usage: deckfall serve | rehearse | wirehost");
-                System.exit(USAGE);
+                System.exit(USAGE_EXIT_STATUS);
             }
         }
     }
