--- a/gateway/src/test/java/marlford/gateway/DecisionsTest.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionsTest.java
@@ -15,48 +15,48 @@
 import marlford.gateway.EngineState.ClassState;
 import org.junit.jupiter.api.Test;
 
-/** Release, weights, host health, determinism and the module's size. */
+/** Release of queued requests, class weights, host choice and health, determinism, and readability of the engine's source. */
 class DecisionsTest {
     private static final int MAX_METHOD_LINES = 40; // non-blank, from the declaration to the closing brace
     private static final int MAX_LINE_LENGTH = 110;
 
-    private static ClassState state(RequestClass spec, double weight, double delay, double slope) {
+    private static ClassState classState(RequestClass spec, double weight, double delay, double slope) {
         ClassState c = new ClassState(spec);
         c.weight = weight;
-        c.delay = delay;
-        c.slope = slope;
+        c.averageDelayMs = delay;
+        c.delaySlope = slope;
         return c;
     }
 
-    private static void askLate(FakeGateway g, String id, double waited, int spread, long customer) {
+    private static void requestThatWaited(FakeGateway g, String id, double waited, int spread, long customer) {
         g.engine.onRequest(g.now, new Request(id, g.now + 3000 - waited, g.now - waited, false, "read", customer, "small",
                 1, 0, spread));
     }
 
-    /** What a stall of the gateway has used up is not decided past half of its time, nor sent for nobody. */
+    /** A request whose time a stall of the gateway has used up is refused before half of its time is over, and not sent. */
     @Test
-    void whatIsReadTooLateIsRefusedAtOnceAndWhatIsNotIsServed() {
+    void requestReadTooLateIsRefusedAtOnceAndAYoungerOneIsServed() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
-        askLate(g, "old", 1300, 1, 1);
-        askLate(g, "young", 300, 1, 1);
+        requestThatWaited(g, "old", 1300, 1, 1);
+        requestThatWaited(g, "young", 300, 1, 1);
         assertEquals(List.of("old"), g.refused);
         assertEquals(1, g.sends("young"));
         assertEquals(0, g.sends("old"));
     }
 
-    /** After a slow start of its own a gateway once held hosts for slow, and refused what was hardly late. */
+    /** Guards against stalls of the gateway that count as latency of the hosts: requests that were hardly late were refused then. */
     @Test
-    void aStallOfItsOwnTeachesNoLatency() {
+    void ownStallIsNotLearntAsHostLatency() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
         for (int i = 0; i < 20; i++) {
             g.ask("s" + i, "read");
-            g.now += 900; // no beat comes: the answer stands unread
+            g.now += 900; // no tick runs, so the answer is read late
             g.end("s" + i, 0, EngineApi.Outcome.OK, 900);
             g.pass(40);
         }
         g.engine.onRequest(g.now, new EngineApi.Request("late", g.now + 2850, g.now - 150, false, "read", 1, "free", 1, 0, 1));
         assertEquals(1, g.sends("late"));
-        g.end("late", 0, EngineApi.Outcome.OK, 900); // the host's own time, with all beats: this is learnt
+        g.end("late", 0, EngineApi.Outcome.OK, 900); // with all ticks it is the host's own latency
         for (int i = 0; i < 20; i++) {
             g.ask("t" + i, "read");
             g.pass(900);
@@ -66,85 +66,88 @@
         assertEquals(List.of("slow"), g.refused);
     }
 
-    /** A stall once held both keepers for silent, and refused what the customer's part had room for. */
+    /**
+     * Guards against a stall of the event loop that marks both ledger replicas as unresponsive: requests were refused then
+     * although the gateway's own share of the quota had room.
+     */
     @Test
-    void aLateLoopAsksNoKeeperAndBlamesNone() {
-        long theirs = 1;
+    void lateEventLoopQueriesNoReplicaAndBlamesNone() {
+        long remoteCustomer = 1;
         FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 2)).withHosts("a1");
-        while (EngineState.ranked(theirs, 0, 2, 2, 1)[0] == 0) {
-            theirs++;
+        while (EngineState.rendezvousRanked(remoteCustomer, 0, 2, 2, 1)[0] == 0) {
+            remoteCustomer++;
         }
-        g.pass(100); // timers run, and messages have their gap
-        askLate(g, "asks", 0, 2, theirs);
-        assertEquals(0, g.sends("asks"));
-        askLate(g, "late", 200, 2, theirs);
+        g.pass(100); // timers run, and the minimum gap between messages has passed
+        requestThatWaited(g, "queries", 0, 2, remoteCustomer);
+        assertEquals(0, g.sends("queries"));
+        requestThatWaited(g, "late", 200, 2, remoteCustomer);
         assertEquals(1, g.sends("late"));
-        g.now += 400; // a stall: the answer may stand unread
+        g.now += 400; // a stall: the reply may be waiting unread
         g.engine.onTimer(g.now, "beat");
-        assertEquals(0, g.sends("asks") + g.answers("asks"));
-        g.pass(500); // on time again, and no answer
-        assertEquals(1, g.sends("asks") + g.answers("asks"));
+        assertEquals(0, g.sends("queries") + g.answers("queries"));
+        g.pass(500); // the loop is on time again, and no reply arrives
+        assertEquals(1, g.sends("queries") + g.answers("queries"));
     }
 
     @Test
-    void donationKeepsTheSumAndFavoursTheWorst() {
-        ClassState slow = state(FakeGateway.READ, 0.3, 1500, 2000);
-        ClassState easy = state(FakeGateway.PAY, 0.4, 100, 2000);
-        ClassState idle = state(FakeGateway.ORDER, 0.3, 300, 2000);
-        assertTrue(DecisionEngine.donate(List.of(slow, easy, idle)));
+    void donationKeepsTheSumAndFavoursTheWorstClass() {
+        ClassState slow = classState(FakeGateway.READ, 0.3, 1500, 2000);
+        ClassState easy = classState(FakeGateway.PAY, 0.4, 100, 2000);
+        ClassState idle = classState(FakeGateway.ORDER, 0.3, 300, 2000);
+        assertTrue(DecisionEngine.donateWeight(List.of(slow, easy, idle)));
         assertEquals(1, slow.weight + easy.weight + idle.weight, 1e-9);
         assertTrue(slow.weight > 0.3 && easy.weight < 0.4 && idle.weight < 0.3);
-        assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "gives by surplus");
+        assertTrue(0.4 - easy.weight > 0.3 - idle.weight, "donations should be proportional to the surplus");
     }
 
     @Test
-    void donationIsClampedToWhatKeepsTheDonorContent() {
-        ClassState slow = state(FakeGateway.READ, 0.5, 60_000, 100);
-        ClassState donor = state(FakeGateway.PAY, 0.5, 500, 1000);
-        DecisionEngine.donate(List.of(slow, donor));
-        double clamp = (0.9 * DecisionEngine.goal(donor) - 500) / 1000;
+    void donationLeavesTheDonorContent() {
+        ClassState slow = classState(FakeGateway.READ, 0.5, 60_000, 100);
+        ClassState donor = classState(FakeGateway.PAY, 0.5, 500, 1000);
+        DecisionEngine.donateWeight(List.of(slow, donor));
+        double clamp = (0.9 * DecisionEngine.delayGoal(donor) - 500) / 1000;
         assertTrue(donor.weight >= 0.5 - clamp && donor.weight < 0.5 && donor.weight > 0);
     }
 
     @Test
-    void weightsStayPositiveAndFreezeWhenAllSuffer() {
-        ClassState a = state(FakeGateway.READ, 0.03, 10, 0.0001);
-        ClassState b = state(FakeGateway.PAY, 0.97, 9000, 10);
-        DecisionEngine.donate(List.of(a, b));
+    void weightsStayPositiveAndStayUnchangedWhenAllClassesExceedTheirGoal() {
+        ClassState a = classState(FakeGateway.READ, 0.03, 10, 0.0001);
+        ClassState b = classState(FakeGateway.PAY, 0.97, 9000, 10);
+        DecisionEngine.donateWeight(List.of(a, b));
         assertTrue(a.weight > 0);
-        ClassState c = state(FakeGateway.READ, 0.5, 5000, 10);
-        ClassState d = state(FakeGateway.PAY, 0.5, 9000, 10);
-        assertFalse(DecisionEngine.donate(List.of(c, d)));
+        ClassState c = classState(FakeGateway.READ, 0.5, 5000, 10);
+        ClassState d = classState(FakeGateway.PAY, 0.5, 9000, 10);
+        assertFalse(DecisionEngine.donateWeight(List.of(c, d)));
         assertEquals(0.5, c.weight);
     }
 
     @Test
-    void aBadSlopeKeepsTheLastGoodOne() {
-        ClassState c = state(FakeGateway.READ, 0.5, 800, 1234);
-        c.markWeight = 0.4;
-        c.markDelay = 700; // more weight, more delay: the wrong sign
+    void slopeOfTheWrongSignKeepsTheLastGoodOne() {
+        ClassState c = classState(FakeGateway.READ, 0.5, 800, 1234);
+        c.slopeStartWeight = 0.4;
+        c.slopeStartDelayMs = 700; // more weight and more delay: the wrong sign
         DecisionEngine.measureSlope(c);
-        assertEquals(1234, c.slope);
+        assertEquals(1234, c.delaySlope);
         c.weight = 0.6;
-        c.delay = 500;
+        c.averageDelayMs = 500;
         DecisionEngine.measureSlope(c);
-        assertEquals(3000, c.slope, 1e-6);
+        assertEquals(3000, c.delaySlope, 1e-6);
     }
 
+    /** Without a limit of attempts in flight, hosts are overloaded within seconds and stay slow. */
     @Test
-    void inFlightIsBoundedAndTheRestIsHeldOrRefused() {
-        // ia17a29: without a bound, hosts were overdriven within seconds and stayed slow
+    void attemptsInFlightAreLimitedAndOtherRequestsAreQueuedOrRefused() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
             g.ask("r" + i, "read");
         }
-        assertTrue(g.sent.size() >= 4 && g.sent.size() <= 40, "sent " + g.sent.size());
+        assertTrue(g.sent.size() >= 4 && g.sent.size() <= 40, "attempts sent: " + g.sent.size());
         g.pass(1000);
         assertTrue(g.refused.size() >= 150);
     }
 
     @Test
-    void aPlaceFreedGoesToAHeldRequest() {
+    void freedSlotGoesToAQueuedRequest() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         for (int i = 0; i < 30; i++) {
             g.ask("r" + i, "read");
@@ -155,8 +158,9 @@
         assertEquals(before + 1, g.sent.size());
     }
 
+    /** Guards against a host that attracts requests since it fails them faster than others serve them. */
     @Test
-    void aHostThatFailsFastDoesNotLookIdle() {
+    void hostThatFailsFastDoesNotLookIdle() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
             String id = "r" + i;
@@ -172,7 +176,7 @@
     }
 
     @Test
-    void anOverdueAttemptIsCalledBackWhereItMayRunElsewhere() {
+    void overdueAttemptIsCancelledWhereTheRequestMayRunElsewhere() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1", "b2");
         for (int i = 0; i < 60; i++) {
             g.ask("w" + i, "read");
@@ -183,15 +187,15 @@
         g.ask("p", "pay");
         String stuck = g.hostOf("r");
         g.pass(700);
-        assertEquals(List.of("r"), g.cancelled); // what must not run twice is left to run
+        assertEquals(List.of("r"), g.cancelled); // a request that must not run twice is not cancelled
         g.end("r", 0, Outcome.CANCELLED, 700);
         assertNotEquals(stuck, g.hostOf("r"));
         assertEquals(1, g.sends("p"));
     }
 
+    /** Each of many gateways knows little about the hosts, so the best host by own counts would be the same one for all. */
     @Test
-    void manyGatewaysDoNotGatherOnOneHost() {
-        // each knows next to nothing of the hosts: the best by own counts would be the same for all
+    void manyGatewaysSpreadOverTheHosts() {
         String[] hosts = IntStream.range(0, 60).mapToObj(i -> "abc".charAt(i % 3) + "" + i).toArray(String[]::new);
         Map<String, Integer> got = new TreeMap<>();
         for (int me = 0; me < 300; me++) {
@@ -202,13 +206,13 @@
             g.sent.forEach(s -> got.merge(s.host(), 1, Integer::sum));
         }
         int total = got.values().stream().mapToInt(n -> n).sum();
-        assertTrue(total >= 600, "sent " + total);
+        assertTrue(total >= 600, "attempts sent: " + total);
         assertTrue(got.values().stream().allMatch(n -> n < 3 * total / 60) && got.size() > 55, got.toString());
     }
 
+    /** One attempt of each gateway would be hundreds at once at a host that has just started (rule 4). */
     @Test
-    void aHostJustStartedIsNotPushedOverByHundredsOfGateways() {
-        // one free send a gateway would be hundreds at once (rule 4)
+    void hundredsOfGatewaysDoNotOverloadAHostThatHasJustStarted() {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             hosts.add(new Host("a" + i, "a", "std", 0, HostState.RUNNING, 1, i == 7 ? 1000 : 0));
@@ -224,13 +228,13 @@
             total += g.sent.size();
             cold += (int) g.sent.stream().filter(s -> s.host().equals("a7")).count();
         }
-        // a fifth of what the others get, times the multiple of two, is the most
-        assertTrue(cold < 0.4 * total / 60, cold + " of " + total);
+        // upper limit: a fifth of the requests of a warm host, times the settings' multiple of two
+        assertTrue(cold < 0.4 * total / 60, cold + " attempts at the cold host, of " + total);
     }
 
+    /** Guards against failures of one class that make a host slow for all classes while it still gets the failing class. */
     @Test
-    void aHostThatFailsOneClassStillServesTheOthers() {
-        // port-louis-archi-later overload 0.28: hosts silent for one class were slow for all and still got it
+    void hostThatFailsOneClassStillServesTheOthers() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         int orders = 0;
         int reads = 0;
@@ -244,13 +248,13 @@
             g.pass(20);
             g.end(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
         }
-        assertTrue(orders < 5, "failing class sent on " + orders);
-        assertTrue(reads > 15, "other class kept away, " + reads);
+        assertTrue(orders < 5, "attempts of the failing class: " + orders);
+        assertTrue(reads > 15, "attempts of the other class: " + reads);
     }
 
+    /** If every gateway used every host, the hosts' connection tables would fill with idle connections and refuse new ones. */
     @Test
-    void hundredsOfGatewaysKeepToEquallyManyHostsEach() {
-        // i2e3387: every gateway met every host, and tables full of idle connections refused new ones
+    void hundredsOfGatewaysSpreadEvenlyOverTheHosts() {
         String[] hosts = IntStream.range(0, 65).mapToObj(i -> "abc".charAt(i % 3) + "" + i).toArray(String[]::new);
         Map<String, Integer> met = new TreeMap<>();
         for (int me = 0; me < 379; me++) {
@@ -265,9 +269,9 @@
         assertTrue(met.size() == 65 && met.values().stream().allMatch(n -> n <= 50), met.toString());
     }
 
+    /** Guards against repeated attempts at hosts whose connection table is full. */
     @Test
-    void aHostThatTakesNoConnectionIsLeftAloneAtOnce() {
-        // i412b8a: hosts with full tables were tried again and again by a gateway without a connection to them
+    void hostThatRefusesConnectionsIsAvoidedAtOnce() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         g.ask("r", "read");
         String full = g.hostOf("r");
@@ -279,7 +283,7 @@
     }
 
     @Test
-    void whenMostLookBadServiceGoesOn() {
+    void requestsAreStillSentWhenAllHostsLookBad() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
         for (int i = 0; i < 12; i++) {
             g.ask("r" + i, "read");
@@ -295,11 +299,11 @@
 
     @Test
     void equalEventsGiveEqualActions() {
-        assertEquals(story(3), story(3));
-        assertFalse(story(3).isEmpty());
+        assertEquals(recordedActions(3), recordedActions(3));
+        assertFalse(recordedActions(3).isEmpty());
     }
 
-    private static List<String> story(long seed) {
+    private static List<String> recordedActions(long seed) {
         FakeGateway g = new FakeGateway(1000, FakeGateway.settings(0, 3)).withHosts("a1", "a2", "b1", "c1");
         Random random = new Random(seed);
         List<String> open = new ArrayList<>();
@@ -320,8 +324,8 @@
         return g.log;
     }
 
-    /** How many requests a single host gets at once before the next is held or refused. */
-    private static int fill(FakeGateway g) {
+    /** The number of requests that a single host gets at once before the next one is queued or refused. */
+    private static int fillSlots(FakeGateway g) {
         int sent = 0;
         for (int i = 0; g.sent.size() == i; i++) {
             sent = i;
@@ -330,30 +334,33 @@
         return sent;
     }
 
-    /** Their hosts are done with them: while clients took their time over long answers, nearly half was refused. */
+    /**
+     * A host has done its work when a long response begins. Guards against responses that hold a slot while clients read them
+     * slowly: nearly half of the requests were refused then.
+     */
     @Test
-    void answersOnTheirWayHoldNoPlace() {
+    void responseInTransferHoldsNoSlot() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
-        int places = fill(g);
-        assertTrue(places > 0);
-        for (int i = 0; i < places; i++) {
+        int slots = fillSlots(g);
+        assertTrue(slots > 0);
+        for (int i = 0; i < slots; i++) {
             g.engine.onStreamStarted(g.now, "f" + i, 0);
-            g.engine.onStreamStarted(g.now, "f" + i, 0); // told twice it frees no second place
+            g.engine.onStreamStarted(g.now, "f" + i, 0); // a repeated event frees no second slot
         }
         int before = g.sent.size();
-        for (int i = 0; i < 3 * places; i++) {
+        for (int i = 0; i < 3 * slots; i++) {
             g.ask("more" + i, "read");
         }
-        assertEquals(places, g.sent.size() - before, 1);
+        assertEquals(slots, g.sent.size() - before, 1);
         int now = g.sent.size();
-        g.end("f0", 0, Outcome.OK, 20); // its place was given away when its answer began
+        g.end("f0", 0, Outcome.OK, 20); // its slot was freed when its response began
         g.ask("after", "read");
         assertEquals(now, g.sent.size());
     }
 
-    /** A host does nothing for a request before its last byte. */
+    /** A host does not work on a request before its last byte has arrived. */
     @Test
-    void bodiesOnTheirWayHoldNoPlace() {
+    void requestBodyInTransferHoldsNoSlot() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         for (int i = 0; i < 50; i++) {
             g.engine.onRequest(g.now, new EngineApi.Request("b" + i, g.now + 9000, g.now, false, "order", 1, "free", 1, 0, 1,
@@ -363,19 +370,19 @@
         g.ask("plain", "read");
         assertEquals(51, g.sent.size());
         g.pass(8000);
-        assertEquals(List.of("plain"), g.cancelled); // nor are they overdue, as that one is
+        assertEquals(List.of("plain"), g.cancelled); // the requests with bodies are not overdue, that one is
     }
 
-    /** A draining host answers at once and holds nothing, so it won again until five attempts had come back. */
+    /** A draining host rejects requests at once and looks idle. Without this rule it was chosen until five attempts had failed. */
     @Test
-    void aHostThatTurnsAwayWhatItHasRoomForIsLeftAlone() {
+    void hostThatRejectsARequestWithNoOthersInFlightIsAvoided() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
-        g.ask("turned", "read");
-        String drains = g.hostOf("turned");
-        g.end("turned", 0, EngineApi.Outcome.FULL, 2);
+        g.ask("rejected", "read");
+        String draining = g.hostOf("rejected");
+        g.end("rejected", 0, EngineApi.Outcome.FULL, 2);
         for (int i = 0; i < 4; i++) {
             g.ask("next" + i, "read");
-            assertNotEquals(drains, g.hostOf("next" + i));
+            assertNotEquals(draining, g.hostOf("next" + i));
         }
     }
 
--- a/gateway/src/test/java/marlford/gateway/FakeGateway.java
+++ b/gateway/src/test/java/marlford/gateway/FakeGateway.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 import marlford.gateway.EngineApi.*;
 
-/** A clock and a notebook: plays events into one DecisionEngine and keeps what it does. */
+/** Test double of the network around one {@link DecisionEngine}: it runs the clock and timers, feeds events and records all actions. */
 final class FakeGateway implements Actions {
     static final RequestClass READ = new RequestClass("read", Effect.REPEATABLE, Scope.ALL, 0, 1000, 3000, 1, 0, false);
     static final RequestClass PAY = new RequestClass("pay", Effect.ONCE, Scope.ALL, 0, 1000, 3000, 3, 0, false);
@@ -28,8 +28,8 @@
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> probed = new ArrayList<>();
-    final List<Told> told = new ArrayList<>();
-    final List<String> log = new ArrayList<>();
+    final List<Told> told = new ArrayList<>(); // messages sent to peers
+    final List<String> log = new ArrayList<>(); // all actions, with their times
     final DecisionEngine engine = new DecisionEngine(this);
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingInt(Timer::order));
@@ -53,6 +53,7 @@
                 new Sharing(false, 0, 0, false, 4, 60, 0.01, 0.01, 0.01));
     }
 
+    /** A tier of this one gateway. */
     static FakeGateway alone() {
         return new FakeGateway(1000, settings(0, 1));
     }
@@ -61,6 +62,7 @@
         return new Host(id, zone, "std", 0, HostState.RUNNING, 1, 0);
     }
 
+    /** Reports a full list of running, warm hosts; the first letter of an id is its zone. */
     FakeGateway withHosts(String... ids) {
         List<Host> hosts = new ArrayList<>();
         for (String id : ids) {
@@ -70,6 +72,7 @@
         return this;
     }
 
+    /** A client's request that has 3 s until its deadline. */
     void ask(String id, String cls, String plan, long customer, double units, int spread) {
         engine.onRequest(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
     }
@@ -83,18 +86,22 @@
                 outcome == Outcome.OK, 0, 0, new double[0]));
     }
 
+    /** The host of a request's last attempt. */
     String hostOf(String id) {
         return sent.stream().filter(s -> s.id().equals(id)).reduce((a, b) -> b).orElseThrow().host();
     }
 
+    /** The number of a request's attempts. */
     long sends(String id) {
         return sent.stream().filter(s -> s.id().equals(id)).count();
     }
 
+    /** The number of a request's refusals and failures. */
     long answers(String id) {
         return refused.stream().filter(id::equals).count() + failed.stream().filter(id::equals).count();
     }
 
+    /** Advances the clock and fires the timers that expire on the way. */
     void runTo(double end) {
         while (!timers.isEmpty() && timers.peek().at() <= end) {
             Timer t = timers.poll();
@@ -146,16 +153,16 @@
     @Override
     public void sendToPeer(int peer, byte[] data) {
         told.add(new Told(peer, data));
-        log.add(now + " tell " + peer + " " + data.length);
+        log.add(now + " sendToPeer " + peer + " " + data.length);
     }
 
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
-        log.add(now + " count " + counter);
+        log.add(now + " addToCounter " + counter);
     }
 
     @Override
     public void watchHosts() {
-        log.add(now + " watch");
+        log.add(now + " watchHosts");
     }
 }
--- a/gateway/src/test/java/marlford/gateway/GuardsTest.java
+++ b/gateway/src/test/java/marlford/gateway/GuardsTest.java
@@ -9,10 +9,10 @@
 import marlford.gateway.EngineApi.*;
 import org.junit.jupiter.api.Test;
 
-/** The five rules, each on one gateway alone. */
+/** The five rules of {@link DecisionEngine}, each on a single gateway. */
 class GuardsTest {
     @Test
-    void withoutHostsARequestIsHeldAndRefusedInTime() {
+    void requestWithoutAHostIsQueuedAndRefusedBeforeItsDeadline() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "pay");
         assertEquals(0, g.answers("r"));
@@ -21,16 +21,16 @@
         assertEquals(List.of("r"), g.refused);
     }
 
+    /** Guards against a late retry that is queued until the next tick, which is after its deadline. */
     @Test
-    void aTryThatComesWithNoTimeLeftIsAnsweredAtOnce() {
-        // port-louis rules-3: a late retry was held until the next beat, after its deadline
+    void requestWithNoTimeLeftIsAnsweredAtOnce() {
         FakeGateway g = FakeGateway.alone();
         g.engine.onRequest(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
         assertEquals(1, g.answers("r"));
     }
 
     @Test
-    void theTimeOutAtTheDeadlineIsAnswered() {
+    void timeoutAtTheDeadlineIsAnswered() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         g.ask("r", "read");
         g.ask("p", "pay");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void nothingIsSentAfterTheClientLeft() {
+    void noAttemptIsSentAfterTheClientDisconnected() {
         FakeGateway g = FakeGateway.alone();
         g.ask("r", "read");
         g.engine.onClientLeft(g.now, "r");
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void unsafeWorkIsNeverRepeatedOnceItMayHaveRun() {
+    void unsafeRequestIsNotRepeatedOnceItMayHaveRun() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.ask("p", "pay");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void whatNeverRanIsSentElsewhere() {
+    void requestThatNeverRanIsSentToAnotherHost() {
         for (Outcome outcome : List.of(Outcome.FULL, Outcome.CONNECT_FAILED)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.ask("p", "pay");
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void keyedWorkStaysInItsZoneAndWindow() {
+    void keyedRequestIsRepeatedOnlyInItsZoneAndWindow() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "b1", "b2");
         g.ask("o", "order");
         String zone = g.hostOf("o").substring(0, 1);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void drainedAndGoneHostsGetNothingNew() {
+    void drainingAndGoneHostsGetNoNewRequests() {
         for (HostState state : List.of(HostState.DRAINING, HostState.GONE)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.engine.onHosts(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
@@ -107,24 +107,24 @@
     }
 
     @Test
-    void aColdHostGetsAShareOfWhatWarmOnesCarry() {
+    void coldHostGetsASmallShareOfTheRequests() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
         for (int i = 0; i < 100; i++) {
-            steady(g, i);
+            steadyRequest(g, i);
         }
         g.engine.onHosts(g.now, ListKind.CHANGES,
                 List.of(new Host("c1", "c", "std", 0, HostState.RUNNING, 1, g.now)));
         int before = g.sent.size();
         for (int i = 100; i < 150; i++) {
-            steady(g, i);
+            steadyRequest(g, i);
         }
         long cold = g.sent.stream().skip(before).filter(s -> s.host().equals("c1")).count();
-        // 50 requests a second, half of them for each warm host: cold 0.2 x multiple 2 = 10 for all gateways
-        assertTrue(cold >= 1 && cold < 10, "cold host got " + cold);
+        // 50 requests a second, 25 for each warm host: the cold share 0.2 times the multiple 2 allows 10 for all gateways
+        assertTrue(cold >= 1 && cold < 10, "attempts at the cold host: " + cold);
     }
 
-    /** Sends to each of four cold hosts beside a warm one, of requests that stay out. */
-    private static long[] coldSends(int gateways, double coldForMs) {
+    /** The attempts at each of four cold hosts beside a warm one, while all attempts stay in flight. */
+    private static long[] attemptsAtColdHosts(int gateways, double coldForMs) {
         FakeGateway g = new FakeGateway(100_000, FakeGateway.settings(0, gateways));
         List<Host> hosts = new ArrayList<>(List.of(FakeGateway.host("a1", "a")));
         for (String id : List.of("c1", "c2", "c3", "c4")) {
@@ -138,24 +138,24 @@
                 .mapToLong(h -> g.sent.stream().filter(s -> s.host().equals(h.id())).count()).toArray();
     }
 
-    /** Chance alone left them idle while the few warm hosts had four times their time. */
+    /** Random choice alone leaves cold hosts idle while the few warm ones have four times their usual latency. */
     @Test
-    void whereNearlyAllAreColdEachGetsOneRequestAtATime() {
-        long[] sends = coldSends(1, 3000);
+    void whereNearlyAllHostsAreColdEachGetsOneRequestAtATime() {
+        long[] sends = attemptsAtColdHosts(1, 3000);
         for (long n : sends) {
             assertTrue(n >= 1, Arrays.toString(sends));
         }
     }
 
-    /** Forty gateways with one request each are more than a host of two cores can do beyond its share (rule 4). */
+    /** One request each of forty gateways is more than a host of two cores can do beyond its share (rule 4). */
     @Test
-    void manyGatewaysLeaveColdHostsToChance() {
-        long all = LongStream.of(coldSends(40, 300)).sum();
-        assertTrue(all <= 2, "cold hosts got " + all);
+    void manyGatewaysSendToColdHostsOnlyByRandomChoice() {
+        long all = LongStream.of(attemptsAtColdHosts(40, 300)).sum();
+        assertTrue(all <= 2, "attempts at cold hosts: " + all);
     }
 
-    /** One request each 20 ms, answered after 160 ms, so that eight are out at a time. */
-    private static void steady(FakeGateway g, int i) {
+    /** One request every 20 ms, answered after 160 ms, so that eight are in flight at a time. */
+    private static void steadyRequest(FakeGateway g, int i) {
         g.ask("w" + i, "read");
         g.pass(20);
         if (i >= 8) {
@@ -164,23 +164,23 @@
     }
 
     @Test
-    void theCeilingIsAnEvenPartAndARestartBringsNoBurst() {
-        int me = EngineState.ranked(9, 0, 2, 2, 2)[0]; // the keeper in charge: half, and half of the rest
+    void restartsGrantNoBurstOfTheCeiling() {
+        int me = EngineState.rendezvousRanked(9, 0, 2, 2, 2)[0]; // the primary replica: half of the ceiling, and half of the rest
         double spent = 0;
-        for (int life = 0; life < 4; life++) {
-            FakeGateway g = new FakeGateway(1000 + life * 500, FakeGateway.settings(me, 2)).withHosts("a1", "a2");
+        for (int restart = 0; restart < 4; restart++) {
+            FakeGateway g = new FakeGateway(1000 + restart * 500, FakeGateway.settings(me, 2)).withHosts("a1", "a2");
             for (int i = 0; i < 25; i++) {
-                g.ask("r" + life + "-" + i, "read", "capped", 9, 1, 2);
+                g.ask("r" + restart + "-" + i, "read", "capped", 9, 1, 2);
                 g.pass(20);
             }
             spent += g.sent.size();
         }
-        // three quarters of 20 a second over 2 s, however often it restarted
-        assertTrue(spent > 10 && spent <= 30, "spent " + spent);
+        // three quarters of 20 units a second over 2 s, with any number of restarts
+        assertTrue(spent > 10 && spent <= 30, "units spent: " + spent);
     }
 
     @Test
-    void eventsForWhatIsNotHeldArePassedOver() {
+    void eventsForUnknownRequestsHostsAndPeersAreIgnored() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         g.engine.onAttemptEnded(g.now, new AttemptResult("x", 0, "a1", Outcome.OK, 1, true, 0, 0, new double[0]));
         g.engine.onClientLeft(g.now, "x");
--- a/gateway/src/test/java/marlford/gateway/PartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/PartsTest.java
@@ -10,159 +10,159 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Admission by parts, tells between gateways, and giving of ceiling units. */
+/** Quotas shared by a small tier: admission by shares, messages between gateways, and transfers of ceiling units. */
 class PartsTest {
-    private final List<FakeGateway> all = new ArrayList<>();
+    private final List<FakeGateway> tier = new ArrayList<>();
     private int serial;
     private final Set<String> ended = new HashSet<>();
-    private double letIn;
-    private boolean lossy;
-    private boolean cut;
-    private boolean repeating;
-    private int silent = -1; // a gateway that nobody hears, and that hears nobody
+    private double admittedUnits;
+    private boolean dropsMessages; // every fourth message is lost
+    private boolean partitioned; // all messages are lost
+    private boolean duplicatesMessages; // each message arrives twice
+    private int unreachable = -1; // number of a gateway that exchanges no messages; -1 for none
 
     private void gateways(int count) {
         for (int i = 0; i < count; i++) {
-            all.add(new FakeGateway(1000, FakeGateway.settings(i, count)).withHosts("a1", "a2", "a3"));
+            tier.add(new FakeGateway(1000, FakeGateway.settings(i, count)).withHosts("a1", "a2", "a3"));
         }
     }
 
-    /** Carries tells with a beat's delay and answers what was sent. */
+    /** Advances all gateways, delivers their messages with 10 ms delay and answers their attempts. */
     private void pass(double ms) {
-        for (double end = all.get(0).now + ms; all.get(0).now < end;) {
-            for (FakeGateway g : all) {
+        for (double end = tier.get(0).now + ms; tier.get(0).now < end;) {
+            for (FakeGateway g : tier) {
                 g.pass(10);
             }
-            for (int from = 0; from < all.size(); from++) {
-                List<FakeGateway.Told> told = List.copyOf(all.get(from).told);
-                all.get(from).told.clear();
-                for (FakeGateway.Told t : told) {
+            for (int from = 0; from < tier.size(); from++) {
+                List<FakeGateway.Told> messages = List.copyOf(tier.get(from).told);
+                tier.get(from).told.clear();
+                for (FakeGateway.Told t : messages) {
                     serial++;
-                    boolean unheard = from == silent || t.peer() == silent;
-                    if (cut || unheard || lossy && serial % 4 == 0) {
+                    boolean lost = from == unreachable || t.peer() == unreachable;
+                    if (partitioned || lost || dropsMessages && serial % 4 == 0) {
                         continue;
                     }
-                    for (int copy = 0; copy < (repeating ? 2 : 1); copy++) {
-                        all.get(t.peer()).engine.onPeerMessage(all.get(t.peer()).now, from, t.data());
+                    for (int copy = 0; copy < (duplicatesMessages ? 2 : 1); copy++) {
+                        tier.get(t.peer()).engine.onPeerMessage(tier.get(t.peer()).now, from, t.data());
                     }
                 }
             }
-            all.forEach(this::answerSent);
+            tier.forEach(this::answerSent);
         }
     }
 
-    /** As before the first gateway. */
+    /** Returns to the state without gateways. */
     private void reset() {
-        all.clear();
+        tier.clear();
         ended.clear();
-        letIn = 0;
+        admittedUnits = 0;
     }
 
     private void answerSent(FakeGateway g) {
         for (FakeGateway.Sent s : List.copyOf(g.sent)) {
             if (ended.add(s.id())) {
-                letIn += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
+                admittedUnits += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
                 g.end(s.id(), 0, EngineApi.Outcome.OK, 5);
             }
         }
     }
 
-    private void ask(int gateway, String plan, double units) {
-        all.get(gateway).ask("q" + serial++ + ":" + units, "read", plan, 42, units, all.size());
+    private void request(int gateway, String plan, double units) {
+        tier.get(gateway).ask("q" + serial++ + ":" + units, "read", plan, 42, units, tier.size());
     }
 
-    /** Units let in over so many seconds of five times the small quota, asked at the given gateways. */
-    private double flood(int seconds, int... at) {
-        return flood("small", 1, seconds, at);
+    /** Units admitted in that time, with requests for 20 units a second at each given gateway: five times the small quota. */
+    private double overload(int seconds, int... at) {
+        return overload("small", 1, seconds, at);
     }
 
-    /** Units let in over so many seconds of a ceiling's double at each of the given gateways. */
-    private double floodCapped(int seconds, int... at) {
-        return flood("capped", 2, seconds, at);
+    /** Units admitted in that time, with requests for twice the ceiling at each given gateway. */
+    private double overloadCeiling(int seconds, int... at) {
+        return overload("capped", 2, seconds, at);
     }
 
-    private double flood(String plan, int requests, int seconds, int... at) {
-        double before = letIn;
+    private double overload(String plan, int requests, int seconds, int... at) {
+        double before = admittedUnits;
         for (int i = 0; i < seconds * 10; i++) {
             for (int g : at) {
                 for (int r = 0; r < requests; r++) {
-                    ask(g, plan, 2);
+                    request(g, plan, 2);
                 }
             }
             pass(100);
         }
-        return letIn - before;
+        return admittedUnits - before;
     }
 
-    private static int[] everyone(int count) {
+    private static int[] allOf(int count) {
         return IntStream.range(0, count).toArray();
     }
 
     @Test
-    void oneGatewayWithAllDemandGetsTheWholeQuota() {
+    void gatewayWithAllDemandGetsTheWholeQuota() {
         gateways(3);
         pass(500);
-        double units = flood(10, 1);
-        assertTrue(units >= 0.9 * (12 + 40) && units <= 12 + 40, "let in " + units);
+        double units = overload(10, 1);
+        assertTrue(units >= 0.9 * (12 + 40) && units <= 12 + 40, "units admitted: " + units);
     }
 
     @Test
-    void partsSumToOneUnderEvenDemand() {
+    void sharesSumToOneUnderEvenDemand() {
         gateways(3);
         pass(500);
-        double units = flood(10, 0, 1, 2);
-        assertTrue(units >= 0.85 * (12 + 40) && units <= 1.15 * (12 + 40), "let in " + units);
+        double units = overload(10, 0, 1, 2);
+        assertTrue(units >= 0.85 * (12 + 40) && units <= 1.15 * (12 + 40), "units admitted: " + units);
     }
 
     @Test
-    void lostAndRepeatedTellsDoNoHarm() {
-        lossy = true;
-        repeating = true;
+    void lostAndDuplicatedMessagesDoNoHarm() {
+        dropsMessages = true;
+        duplicatesMessages = true;
         gateways(3);
         pass(500);
-        double units = flood(10, 0, 1, 2);
-        assertTrue(units >= 0.8 * (12 + 40) && units <= 1.2 * (12 + 40), "let in " + units);
+        double units = overload(10, 0, 1, 2);
+        assertTrue(units >= 0.8 * (12 + 40) && units <= 1.2 * (12 + 40), "units admitted: " + units);
     }
 
     @Test
-    void aLargeRequestBeyondTheOwnFragmentIsLentFromTheRoom() {
+    void requestsBeyondTheOwnShareOfTheBurstAreGranted() {
         gateways(4);
         pass(500);
-        ask(0, "small", 4);
-        ask(0, "small", 4); // eight units: the even part of the burst is three
+        request(0, "small", 4);
+        request(0, "small", 4); // eight units: an even share of the burst is three
         pass(300);
-        assertEquals(8, letIn);
+        assertEquals(8, admittedUnits);
     }
 
+    /** Guards against refusals of 45% of the requests while half of the quota is unused, and 20% of the use beyond quotas. */
     @Test
-    void aWideSetSharesOneQuotaThatFollowsTheTraffic() {
-        // glasopis-prod-later big-1: 45% were refused with half of the quota unused, 20% sent on beyond quotas
+    void quotaOfALargeSetFollowsTheTraffic() {
         gateways(200);
         pass(100);
-        double spread = flood(6, 3, 50, 51, 99, 140, 199);
-        assertTrue(spread >= 0.85 * (12 + 24) && spread <= 1.1 * (12 + 24), "let in " + spread);
-        double moved = flood(6, 7, 120); // at one stroke to two others
-        assertTrue(moved >= 0.85 * 24 && moved <= 1.1 * 24, "let in after the move " + moved);
+        double spread = overload(6, 3, 50, 51, 99, 140, 199);
+        assertTrue(spread >= 0.85 * (12 + 24) && spread <= 1.1 * (12 + 24), "units admitted: " + spread);
+        double moved = overload(6, 7, 120); // all traffic moves at once to two other gateways
+        assertTrue(moved >= 0.85 * 24 && moved <= 1.1 * 24, "units admitted after the move: " + moved);
     }
 
     @Test
-    void aKeeperThatRestartsDoesNotGrantTheBurstAgain() {
+    void restartedPrimaryReplicaDoesNotGrantTheBurstAgain() {
         gateways(60);
         pass(100);
-        flood(4, 5, 6, 7);
-        int keeper = EngineState.ranked(42, 0, 60, 60, 2)[0];
-        double now = all.get(keeper).now;
-        all.set(keeper, new FakeGateway(now, FakeGateway.settings(keeper, 60)).withHosts("a1", "a2", "a3"));
-        double after = flood(4, 5, 6, 7);
-        assertTrue(after >= 0.5 * 16 && after <= 16 + 6, "let in after the restart " + after);
+        overload(4, 5, 6, 7);
+        int primary = EngineState.rendezvousRanked(42, 0, 60, 60, 2)[0];
+        double now = tier.get(primary).now;
+        tier.set(primary, new FakeGateway(now, FakeGateway.settings(primary, 60)).withHosts("a1", "a2", "a3"));
+        double after = overload(4, 5, 6, 7);
+        assertTrue(after >= 0.5 * 16 && after <= 16 + 6, "units admitted after the restart: " + after);
     }
 
     @Test
-    void aTellIsTakenOnceAndOnlyFromASetThatCanBe() {
+    void reportIsProcessedOnceAndOnlyForAPossibleGatewaySet() {
         gateways(3);
-        int keeper = EngineState.ranked(42, 0, 3, 3, 2)[0];
-        int member = keeper == 0 ? 1 : 0;
-        FakeGateway g = all.get(keeper);
+        int primary = EngineState.rendezvousRanked(42, 0, 3, 3, 2)[0];
+        int member = primary == 0 ? 1 : 0;
+        FakeGateway g = tier.get(primary);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             LedgerMessage.Entry e = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
             g.engine.onPeerMessage(g.now, member, new LedgerMessage(500, 0, 1 + set[1], 0, List.of(e)).bytes());
@@ -183,35 +183,35 @@
     }
 
     @Test
-    void runningTotalsRunOverTheEndsOfTheirFields() {
+    void runningTotalsAndSerialsWrapAround() {
         double far = (1L << 31) / 16.0;
         assertEquals(3, LedgerMessage.ahead(far + 1, far - 2));
         assertTrue(LedgerMessage.after(2, 65_534) && !LedgerMessage.after(65_534, 2));
     }
 
     @Test
-    void withItsKeepersSilentAGatewayHasTheEvenSplit() {
+    void gatewayCutOffFromTheReplicasHasAnEvenShare() {
         gateways(4);
-        int[] keepers = EngineState.ranked(42, 0, 4, 4, 2);
-        int member = IntStream.range(0, 4).filter(g -> g != keepers[0] && g != keepers[1]).findFirst().orElseThrow();
-        cut = true;
+        int[] replicas = EngineState.rendezvousRanked(42, 0, 4, 4, 2);
+        int member = IntStream.range(0, 4).filter(g -> g != replicas[0] && g != replicas[1]).findFirst().orElseThrow();
+        partitioned = true;
         pass(4000);
-        double units = flood(20, member);
-        assertTrue(units >= 0.7 * 20 && units <= 1.3 * (4 + 20), "let in " + units);
-        cut = false;
+        double units = overload(20, member);
+        assertTrue(units >= 0.7 * 20 && units <= 1.3 * (4 + 20), "units admitted: " + units);
+        partitioned = false;
         pass(6000);
-        double healed = flood(10, member);
-        assertTrue(healed >= 0.85 * (12 + 40) && healed <= 1.1 * (12 + 40), "let in when healed " + healed);
+        double healed = overload(10, member);
+        assertTrue(healed >= 0.85 * (12 + 40) && healed <= 1.1 * (12 + 40), "units admitted after the partition: " + healed);
     }
 
     @Test
-    void damagedMessagesAreDroppedWhole() {
+    void damagedMessagesAreDropped() {
         gateways(2);
-        all.get(0).ask("a", "read", "small", 42, 4, 2);
-        all.get(1).ask("b", "read", "small", 42, 4, 2);
-        all.get(0).pass(400);
-        all.get(1).pass(400);
-        byte[] good = all.stream().flatMap(g -> g.told.stream()).findFirst().orElseThrow().data();
+        tier.get(0).ask("a", "read", "small", 42, 4, 2);
+        tier.get(1).ask("b", "read", "small", 42, 4, 2);
+        tier.get(0).pass(400);
+        tier.get(1).pass(400);
+        byte[] good = tier.stream().flatMap(g -> g.told.stream()).findFirst().orElseThrow().data();
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 0x10;
@@ -223,234 +223,238 @@
     }
 
     @Test
-    void aTellKeepsWhatItSays() {
+    void encodedMessageDecodesToItself() {
         long customer = 4569004829183723L % (1L << 33);
-        LedgerMessage.Entry tell = new LedgerMessage.Entry(false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5,
+        LedgerMessage.Entry report = new LedgerMessage.Entry(false, true, true, false, true, customer, 255, 389, 390, 12.5, 3.25, 7.5,
                 -0.5, 300, 0);
-        LedgerMessage.Entry answer = new LedgerMessage.Entry(true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5,
+        LedgerMessage.Entry reply = new LedgerMessage.Entry(true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5,
                 0.25, 4, 70_000.5);
-        LedgerMessage said = new LedgerMessage(-5, 9, 65_535, 0, List.of(tell, answer));
-        assertEquals(said, LedgerMessage.read(said.bytes()));
+        LedgerMessage message = new LedgerMessage(-5, 9, 65_535, 0, List.of(report, reply));
+        assertEquals(message, LedgerMessage.read(message.bytes()));
     }
 
     @Test
-    void givenCeilingUnitsAreNeverMadeTwice() {
-        repeating = true;
+    void grantedCeilingUnitsAreNotDuplicated() {
+        duplicatesMessages = true;
         gateways(4);
         pass(3000);
         for (int i = 0; i < 100; i++) {
-            ask(0, "capped", 2);
-            ask(0, "capped", 2);
+            request(0, "capped", 2);
+            request(0, "capped", 2);
             pass(100);
         }
-        assertTrue(letIn > 0.4 * 20 * 10, "the even quarter alone: " + letIn);
-        assertTrue(letIn <= 40 + 20 * 10, "passed the ceiling: " + letIn);
+        assertTrue(admittedUnits > 0.4 * 20 * 10, "no more than the even quarter was admitted: " + admittedUnits);
+        assertTrue(admittedUnits <= 40 + 20 * 10, "units admitted beyond the ceiling: " + admittedUnits);
     }
 
-    /** Half of a ceiling lay idle for as long as its first keeper was away, though the quota had room. */
+    /** Guards against half of a ceiling that stays unused while its primary replica is down, although the quota has room. */
     @Test
-    void theSecondKeeperHasAPartOfTheFirstsCeilingInItsSilence() {
+    void backupReplicaTakesOverPartOfTheCeilingWhileThePrimaryIsUnreachable() {
         gateways(3);
-        int[] keepers = EngineState.ranked(42, 0, 3, 3, 2);
-        floodCapped(3, keepers[0], keepers[1]);
-        silent = keepers[0];
-        double alone = floodCapped(10, keepers[1]);
-        double even = 20 / 6.0; // units a second that are the second keeper's in any case
-        assertTrue(alone >= even * 10 + 0.25 * 20 * 8, "let in " + alone);
-        silent = -1;
-        floodCapped(3, keepers[0], keepers[1]); // it is given back
-        double both = floodCapped(10, keepers[0], keepers[1]);
-        assertTrue(both >= 0.9 * 20 * 10 * 5 / 6, "let in with both back " + both); // a sixth is the third gateway's
-    }
-
-    /** Rule 5 while the keepers lose each other, one alone or all at once, and all three are asked without end. */
+        int[] replicas = EngineState.rendezvousRanked(42, 0, 3, 3, 2);
+        overloadCeiling(3, replicas[0], replicas[1]);
+        unreachable = replicas[0];
+        double alone = overloadCeiling(10, replicas[1]);
+        double even = 20 / 6.0; // units a second of the backup's permanent share
+        assertTrue(alone >= even * 10 + 0.25 * 20 * 8, "units admitted by the backup: " + alone);
+        unreachable = -1;
+        overloadCeiling(3, replicas[0], replicas[1]); // the backup returns the leased part
+        double both = overloadCeiling(10, replicas[0], replicas[1]);
+        assertTrue(both >= 0.9 * 20 * 10 * 5 / 6, "units admitted with both reachable: " + both); // a sixth is the third gateway's share
+    }
+
+    /** Rule 5 while gateways become unreachable, one alone or all at once, and all three get requests all the time. */
     @Test
-    void aCeilingThatChangesHandsIsNeverPassed() {
+    void ceilingIsNotExceededWhileItsLeaseChangesHands() {
         for (long seed = 1; seed <= 12; seed++) {
             Random random = new Random(seed);
             reset();
-            cut = false;
-            silent = -1;
+            partitioned = false;
+            unreachable = -1;
             gateways(3);
-            double least = 0; // of what a window that ends now may have begun with
+            double lowest = 0; // the lowest excess so far: where a window that ends now began
             for (int tenth = 0; tenth < 400; tenth++) {
                 if (random.nextInt(25) == 0) {
-                    cut = random.nextInt(3) == 0;
-                    silent = random.nextInt(6) - 1;
+                    partitioned = random.nextInt(3) == 0;
+                    unreachable = random.nextInt(6) - 1;
                 }
-                for (int g : everyone(3)) {
+                for (int g : allOf(3)) {
                     if (random.nextInt(4) > 0) {
-                        ask(g, "capped", 1 + random.nextInt(4));
+                        request(g, "capped", 1 + random.nextInt(4));
                     }
                 }
                 pass(100);
-                double beyond = letIn - 20 * 0.1 * tenth;
-                least = Math.min(least, beyond);
-                assertTrue(beyond - least <= 40 + 4, "seed " + seed + ": " + (beyond - least) + " at " + tenth);
+                double excess = admittedUnits - 20 * 0.1 * tenth;
+                lowest = Math.min(lowest, excess);
+                assertTrue(excess - lowest <= 40 + 4,
+                        "seed " + seed + ": excess of " + (excess - lowest) + " units at second " + tenth / 10.0);
             }
-            assertTrue(letIn > 20 * 40 * 0.4, "seed " + seed + ": all in all " + letIn);
+            assertTrue(admittedUnits > 20 * 40 * 0.4, "seed " + seed + ": units admitted in total: " + admittedUnits);
         }
     }
 
-    /** An old process spends what it saved, the new one what fills: together no more than one would have. */
+    /** A replaced process spends what it has saved, the new one what fills: together no more than a single process. */
     @Test
-    void aGatewayThatIsReplacedSpendsNothingThatFillsElsewhere() {
+    void replacedProcessSpendsNothingThatFillsInTheNewOne() {
         gateways(1);
-        FakeGateway old = all.get(0);
-        pass(5000); // its ceiling is full
+        FakeGateway old = tier.get(0);
+        pass(5000); // its bucket of the ceiling is full
         old.engine.onReplaced(old.now);
-        double before = letIn;
-        floodCapped(3, 0);
-        assertTrue(letIn - before > 40 - 4 && letIn - before <= 40, "of forty saved: " + (letIn - before));
-        double empty = letIn;
-        floodCapped(1, 0);
-        assertEquals(empty, letIn, "nothing fills there");
-        pass(3000); // and nobody asks
+        double before = admittedUnits;
+        overloadCeiling(3, 0);
+        assertTrue(admittedUnits - before > 40 - 4 && admittedUnits - before <= 40,
+                "units admitted of forty saved: " + (admittedUnits - before));
+        double empty = admittedUnits;
+        overloadCeiling(1, 0);
+        assertEquals(empty, admittedUnits, "the replaced process has admitted units that filled after its replacement");
+        pass(3000); // without requests
         old.engine.onRestored(old.now);
-        floodCapped(1, 0);
-        assertTrue(letIn - empty <= 20, "filled since it is back: " + (letIn - empty));
-        assertTrue(letIn - empty >= 12, "filled since it is back: " + (letIn - empty));
+        overloadCeiling(1, 0);
+        assertTrue(admittedUnits - empty <= 20, "units admitted since it was restored: " + (admittedUnits - empty));
+        assertTrue(admittedUnits - empty >= 12, "units admitted since it was restored: " + (admittedUnits - empty));
     }
 
-    /** A customer that the old process never saw finds no more there than had filled until it was replaced. */
+    /** A customer that is new to a replaced process gets no more there than had filled until the replacement. */
     @Test
-    void aReplacedGatewayKnowsNoNewCustomersCeiling() {
+    void replacedProcessGrantsANewCustomerOnlyWhatFilledBefore() {
         gateways(1);
         pass(500);
-        all.get(0).engine.onReplaced(all.get(0).now);
+        tier.get(0).engine.onReplaced(tier.get(0).now);
         pass(5000);
-        assertTrue(floodCapped(2, 0) <= 10, "half a second of the ceiling");
+        assertTrue(overloadCeiling(2, 0) <= 10, "more than half a second of the ceiling was admitted");
     }
 
-    /** Rule 5 while gateways are replaced, fall back and are replaced anew, with the old processes asked as well. */
+    /** Rule 5 while gateways are replaced, restored and replaced again, and the old processes get requests as well. */
     @Test
-    void aCeilingIsKeptThroughUpgradesAndFallingBack() {
+    void ceilingIsNotExceededByUpgradesAndRollbacks() {
         for (long seed = 1; seed <= 12; seed++) {
             Random random = new Random(seed);
             reset();
             gateways(3);
             FakeGateway[] old = new FakeGateway[3];
-            double least = 0;
+            double lowest = 0; // excess so far
             for (int tenth = 0; tenth < 400; tenth++) {
                 if (random.nextInt(15) == 0) {
                     int g = random.nextInt(3);
-                    if (old[g] != null && random.nextBoolean()) { // the new process is gone
+                    if (old[g] != null && random.nextBoolean()) { // the new process has failed
                         old[g].engine.onRestored(old[g].now);
-                        all.set(g, old[g]);
+                        tier.set(g, old[g]);
                         old[g] = null;
                     } else if (old[g] == null) {
-                        old[g] = all.get(g);
+                        old[g] = tier.get(g);
                         old[g].engine.onReplaced(old[g].now);
-                        all.set(g, new FakeGateway(old[g].now, FakeGateway.settings(g, 3))
+                        tier.set(g, new FakeGateway(old[g].now, FakeGateway.settings(g, 3))
                                 .withHosts("a1", "a2", "a3"));
                     } else {
-                        old[g] = null; // it has ended
+                        old[g] = null; // the old process has ended
                     }
                 }
-                for (int g : everyone(3)) {
+                for (int g : allOf(3)) {
                     if (random.nextInt(4) > 0) {
-                        ask(g, "capped", 1 + random.nextInt(4));
+                        request(g, "capped", 1 + random.nextInt(4));
                     }
                     if (old[g] != null) {
-                        old[g].pass(all.get(g).now - old[g].now);
-                        old[g].told.clear(); // it has no way to peers
+                        old[g].pass(tier.get(g).now - old[g].now);
+                        old[g].told.clear(); // a replaced process exchanges no messages with peers
                         int units = 1 + random.nextInt(4);
                         old[g].ask("old" + serial++ + ":" + units, "read", "capped", 42, units, 3);
                         answerSent(old[g]);
                     }
                 }
                 pass(100);
-                double beyond = letIn - 20 * 0.1 * tenth;
-                least = Math.min(least, beyond);
-                assertTrue(beyond - least <= 40 + 4, "seed " + seed + ": " + (beyond - least) + " at " + tenth);
+                double excess = admittedUnits - 20 * 0.1 * tenth;
+                lowest = Math.min(lowest, excess);
+                assertTrue(excess - lowest <= 40 + 4,
+                        "seed " + seed + ": excess of " + (excess - lowest) + " units at second " + tenth / 10.0);
             }
-            assertTrue(letIn > 20 * 40 * 0.3, "seed " + seed + ": all in all " + letIn);
+            assertTrue(admittedUnits > 20 * 40 * 0.3, "seed " + seed + ": units admitted in total: " + admittedUnits);
         }
     }
 
-    /** What has filled since the last life's end is there at once; without that knowledge nothing is. */
+    /** A restarted process that knows when the last one ended has what filled since; without that knowledge it has nothing. */
     @Test
-    void aReturnFindsWhatFilledInItsAbsence() {
+    void restartedProcessHasWhatFilledWhileItWasDown() {
         for (double away : new double[] {0, 1000, 60_000}) {
             reset();
             gateways(1);
-            FakeGateway g = all.get(0);
+            FakeGateway g = tier.get(0);
             g.engine.onNoOtherSpenderSince(g.now, g.now - away);
             double most = Math.min(40, 20 * away / 1000);
             for (int i = 0; i < 41; i++) {
-                ask(0, "capped", 1);
+                request(0, "capped", 1);
                 answerSent(g);
             }
-            assertEquals(most, letIn, away + " ms away");
+            assertEquals(most, admittedUnits, "units admitted after a downtime of " + away + " ms");
         }
     }
 
-    /** Rule 5 while gateways are killed at any time and return after any time, knowing when the last life ended. */
+    /** Rule 5 while gateways are killed and restarted at random, each with the knowledge when its last process ended. */
     @Test
-    void aCeilingIsKeptThroughReturnsThatKnowWhenTheyWereAway() {
+    void ceilingIsNotExceededByRestartsThatKnowTheirDowntime() {
         for (long seed = 1; seed <= 12; seed++) {
             Random random = new Random(seed);
             reset();
             gateways(3);
-            double least = 0;
+            double lowest = 0; // excess so far
             double diedAt = 0;
-            silent = -1;
+            unreachable = -1;
             for (int tenth = 0; tenth < 400; tenth++) {
-                if (silent < 0 && random.nextInt(8) == 0) {
-                    silent = random.nextInt(3);
-                    diedAt = all.get(silent).now;
-                } else if (silent >= 0 && random.nextInt(12) == 0) {
-                    double now = all.get(silent).now;
-                    FakeGateway next = new FakeGateway(now, FakeGateway.settings(silent, 3))
+                if (unreachable < 0 && random.nextInt(8) == 0) {
+                    unreachable = random.nextInt(3);
+                    diedAt = tier.get(unreachable).now;
+                } else if (unreachable >= 0 && random.nextInt(12) == 0) {
+                    double now = tier.get(unreachable).now;
+                    FakeGateway next = new FakeGateway(now, FakeGateway.settings(unreachable, 3))
                             .withHosts("a1", "a2", "a3");
                     next.engine.onNoOtherSpenderSince(now, diedAt);
-                    all.set(silent, next);
-                    silent = -1;
+                    tier.set(unreachable, next);
+                    unreachable = -1;
                 }
-                for (int g : everyone(3)) {
-                    if (g != silent && random.nextInt(4) > 0) {
-                        ask(g, "capped", 1 + random.nextInt(4));
-                        ask(g, "capped", 1 + random.nextInt(4));
+                for (int g : allOf(3)) {
+                    if (g != unreachable && random.nextInt(4) > 0) {
+                        request(g, "capped", 1 + random.nextInt(4));
+                        request(g, "capped", 1 + random.nextInt(4));
                     }
                 }
                 pass(100);
-                double beyond = letIn - 20 * 0.1 * tenth;
-                least = Math.min(least, beyond);
-                assertTrue(beyond - least <= 40 + 4, "seed " + seed + ": " + (beyond - least) + " at " + tenth);
+                double excess = admittedUnits - 20 * 0.1 * tenth;
+                lowest = Math.min(lowest, excess);
+                assertTrue(excess - lowest <= 40 + 4,
+                        "seed " + seed + ": excess of " + (excess - lowest) + " units at second " + tenth / 10.0);
             }
-            assertTrue(letIn > 20 * 40 * 0.3, "seed " + seed + ": all in all " + letIn);
+            assertTrue(admittedUnits > 20 * 40 * 0.3, "seed " + seed + ": units admitted in total: " + admittedUnits);
         }
-        silent = -1;
+        unreachable = -1;
     }
 
-    /** What the first keeper had saved when it was cut off is not spent beside what the second then had. */
+    /** Units that the primary replica saved before it was cut off are not spent in addition to those of the backup. */
     @Test
-    void savingsDoNotOutliveTheLease() {
+    void savedUnitsDoNotOutliveTheLease() {
         gateways(3);
-        int[] keepers = EngineState.ranked(42, 0, 3, 3, 2);
-        floodCapped(3, keepers);
-        pass(8000); // all is full again
-        silent = keepers[0];
-        ask(keepers[1], "capped", 1);
+        int[] replicas = EngineState.rendezvousRanked(42, 0, 3, 3, 2);
+        overloadCeiling(3, replicas);
+        pass(8000); // all buckets are full again
+        unreachable = replicas[0];
+        request(replicas[1], "capped", 1);
         pass(6000);
-        floodCapped(1, keepers[1]);
-        silent = -1;
-        pass(700); // the first has it again, and has not been asked meanwhile
-        double before = letIn;
+        overloadCeiling(1, replicas[1]);
+        unreachable = -1;
+        pass(700); // the primary holds the leased part again, and had no requests meanwhile
+        double before = admittedUnits;
         for (int i = 0; i < 10; i++) {
-            ask(keepers[0], "capped", 4);
+            request(replicas[0], "capped", 4);
         }
         pass(20);
-        double own = 40 * (0.25 + 0.5 / 3); // what is its own for good, all saved
-        double leased = 0.25 * 20 * 0.7; // and what the rest of it gave since it is back
-        assertTrue(letIn - before <= own + leased, "let in at once " + (letIn - before));
-        assertTrue(letIn - before >= own - 4, "its own was saved: " + (letIn - before));
+        double own = 40 * (0.25 + 0.5 / 3); // its permanent share, all saved
+        double leased = 0.25 * 20 * 0.7; // what has filled in the leased part since
+        assertTrue(admittedUnits - before <= own + leased, "units admitted at once: " + (admittedUnits - before));
+        assertTrue(admittedUnits - before >= own - 4, "less was admitted than the saved permanent share: " + (admittedUnits - before));
     }
 
     @Test
-    void openAttemptsAreLimited() {
+    void openRequestsAreLimited() {
         gateways(1);
-        FakeGateway g = all.get(0);
+        FakeGateway g = tier.get(0);
         for (int i = 0; i < 4; i++) {
             g.ask("o" + i, "read", "open", 5, 1, 1);
         }
@@ -462,9 +466,9 @@
     }
 
     @Test
-    void beyondTheQuotaIsRefusedAtOnce() {
+    void requestsBeyondTheQuotaAreRefusedAtOnce() {
         gateways(1);
-        FakeGateway g = all.get(0);
+        FakeGateway g = tier.get(0);
         for (int i = 0; i < 5; i++) {
             g.ask("o" + i, "read", "small", 5, 4, 1);
         }
@@ -472,16 +476,16 @@
         assertEquals(List.of("o3", "o4"), g.refused);
     }
 
-    /** A life's number is cut from Unix time and runs over; a peer that starts after that is still the later one. */
+    /** An incarnation's number is 32 bits of Unix time and wraps around; a peer that starts after that still counts as the later one. */
     @Test
-    void aPeersNextLifeIsHeardAlsoWhereItsNumberHasRunOver() {
+    void nextIncarnationOfAPeerIsAcceptedAfterItsNumberWraps() {
         FakeGateway g = new FakeGateway(Integer.MAX_VALUE, FakeGateway.settings(0, 2)).withHosts("a1");
         LedgerMessage.Entry e = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
-        for (int life : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
+        for (int incarnation : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
             int before = g.told.size();
-            g.engine.onPeerMessage(g.now, 1, new LedgerMessage(life, 0, 1, 0, List.of(e)).bytes());
+            g.engine.onPeerMessage(g.now, 1, new LedgerMessage(incarnation, 0, 1, 0, List.of(e)).bytes());
             g.pass(200);
-            assertTrue(g.told.size() > before, "no answer to life " + life);
+            assertTrue(g.told.size() > before, "no reply to incarnation " + incarnation);
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/ProbeEvidenceTest.java
+++ b/gateway/src/test/java/marlford/gateway/ProbeEvidenceTest.java
@@ -6,11 +6,11 @@
 import marlford.gateway.EngineApi.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** What probes found, of this gateway or of another, beside what the gateway knows itself. */
+/** Probe results, of this gateway or of another one, and their effect on host choice beside the gateway's own answers. */
 class ProbeEvidenceTest {
     private final FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
 
-    private int sentTo(String host, int requests) {
+    private int attemptsAt(String host, int requests) {
         long before = g.sent.stream().filter(s -> s.host().equals(host)).count();
         for (int i = 0; i < requests; i++) {
             String id = "r" + g.now + "-" + i;
@@ -22,26 +22,26 @@
     }
 
     @Test
-    void aHostThatCanNotBeReachedIsAvoidedBeforeARequestIsLostThere() {
-        assertTrue(sentTo("a1", 40) > 8);
+    void unreachableHostIsAvoidedBeforeARequestFailsThere() {
+        assertTrue(attemptsAt("a1", 40) > 8);
         for (int i = 0; i < 4; i++) {
             g.engine.onProbeResult(g.now, "a1", Outcome.CONNECT_FAILED, 0, new double[0]);
             g.pass(100);
         }
         assertEquals(1, g.engine.avoidedHostCount(g.now));
-        assertTrue(sentTo("a1", 20) <= 4);
+        assertTrue(attemptsAt("a1", 20) <= 4);
         for (int i = 0; i < 25; i++) {
             g.engine.onProbeResult(g.now, "a1", Outcome.OK, 5, new double[0]);
             g.pass(100);
         }
         assertEquals(0, g.engine.avoidedHostCount(g.now));
-        assertTrue(sentTo("a1", 40) > 8);
+        assertTrue(attemptsAt("a1", 40) > 8);
     }
 
-    /** The own answer is younger than the finding, however late that comes. */
+    /** A probe result that arrives late may be older than the last answer of the host. */
     @Test
-    void whatIsOlderThanAnOwnAnswerIsPassedOver() {
-        sentTo("a1", 40);
+    void probeResultOlderThanAnAnswerIsIgnored() {
+        attemptsAt("a1", 40);
         for (int i = 0; i < 10; i++) {
             g.engine.onProbeResult(g.now - 5000, "a1", Outcome.CONNECT_FAILED, 0, new double[0]);
         }
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aHostThatNobodyListsIsNoMatter() {
+    void probeResultOfAnUnlistedHostIsIgnored() {
         g.engine.onProbeResult(g.now, "gone", Outcome.CONNECT_FAILED, 0, new double[0]);
         assertEquals(0, g.engine.avoidedHostCount(g.now));
     }
