--- a/gateway/src/main/java/marlford/gateway/net/Discovery.java
+++ b/gateway/src/main/java/marlford/gateway/net/Discovery.java
@@ -36,323 +36,351 @@
 import marlford.gateway.list.PollingBackoff;
 
 /**
- * Asks an agent for the whole list of hosts, then watches it without a break; a silent or broken call is asked anew.
- * What a word is worth, {@link HostList} says; this class carries calls and answers, and tells the node what came of
- * them. All on the event loop.
+ * Fetches the list of hosts from a discovery agent and then watches it for changes without a gap; calls that fail or time
+ * out are retried. {@link HostList} decides which responses are accepted; this class exchanges them with the agent and
+ * passes the result to the node. Not thread-safe; runs on the event loop.
  *
- * <p>A move to another agent is made before the old one is left: its watch goes on until the new agent has spoken, so
- * that a new address at which nobody answers leaves the gateway no worse informed than before.
+ * <p>After a change of the agent, the watch at the previous one goes on until the new agent has sent an accepted list, so
+ * that a new address that does not respond leaves the gateway no worse informed than before.
  */
 final class Discovery {
     static final String LIST = "servers";
-    private static final String PATH = "/v1/servers";
-    private static final int GIVEN_UP = 2; // failures from which a start does not wait for a first word, and the agent is away
-    private static final long REVIEW_MS = 1000; // how often the age of the list is looked at
-    private static final int TEXT_MAX = 1 << 20; // bytes of a list that is passed on to other gateways
+    private static final String SERVERS_PATH = "/v1/servers";
+    /** Failures in a row from which the agent counts as unavailable, and a start no longer waits for its first list. */
+    private static final int FAILURES_UNTIL_UNAVAILABLE = 2;
+    private static final long AGE_CHECK_INTERVAL_MS = 1000;
+    private static final int MAX_SHARED_TEXT_BYTES = 1 << 20; // a longer list is not shared with other gateways
 
-    /** A host with the address at which this api gateway reaches it; null where it is gone or was not told. */
+    /**
+     * A host on the list.
+     *
+     * @param address at which this gateway reaches it; null if the host is gone or the address is not known
+     */
     record Entry(Host host, InetSocketAddress address) { }
 
     private final Node node;
     private final HostList list;
-    private final PollingBackoff pace;
-    private final HostListLimit limit;
+    private final PollingBackoff backoff;
+    private final HostListLimit hostLimit;
     private InetSocketAddress agent;
-    private Calls current;
-    private Calls previous; // the watch of the agent that was left, until the new one speaks
-    private Runnable first; // runs once a word was taken, or none is to be had
-    private int failures;
-    private boolean failing;
-    private boolean failingByLength;
+    private AgentConnection current;
+    private AgentConnection previous; // watch at the previous agent, until the new one has sent an accepted list; else null
+    private Runnable onFirstList; // runs once a list was accepted or the agent is unavailable; then null
+    private int failures; // failed calls in a row
+    private boolean failureLogged; // the current series of failures was logged
+    private boolean tooLongLogged; // and that the list is too long
     private boolean started;
-    private boolean old; // the age of the list was logged
-    private boolean listed; // there is a list, of an agent or of before the start
-    private boolean awaitsList; // the start's time for one is not over
+    private boolean ageLogged; // the high age of the list was logged
+    private boolean hasList; // from an agent or from before the start
+    private boolean waitsForList; // the gateway is unhealthy until it has a list
 
     Discovery(Node node) {
         this(node, HostListLimit.ofHeap(Runtime.getRuntime().maxMemory()));
     }
 
-    /** With a limit of the caller's making. */
-    Discovery(Node node, HostListLimit limit) {
+    /** Creates a discovery client with a given limit on the number of hosts. */
+    Discovery(Node node, HostListLimit hostLimit) {
         this.node = node;
-        this.limit = limit;
+        this.hostLimit = hostLimit;
         this.agent = node.config.discovery();
         this.list = new HostList(HostList.Limits.DEFAULT, node.clock.now());
-        this.pace = new PollingBackoff(new Random(node.config.settings().seed()),
+        this.backoff = new PollingBackoff(new Random(node.config.settings().seed()),
                 node.config.settings().rules().drainGraceMs(), !node.config.settings().subscribe());
     }
 
-    /** The list from before the start, for as long as no agent has spoken. */
-    void known(JsonNode before) {
-        List<Entry> entries = entries(before);
-        if (entries.size() > limit.hosts()) {
-            Node.log("the configuration: " + new ListTooLongException(limit.hosts()).getMessage());
+    /** Uses a list from before the start until an agent has sent one. */
+    void known(JsonNode cached) {
+        List<Entry> entries = readEntries(cached);
+        if (entries.size() > hostLimit.hosts()) {
+            Node.log("discovery: the list of hosts in the configuration: " + new ListTooLongException(hostLimit.hosts()).getMessage());
             return;
         }
-        listed = !entries.isEmpty();
-        tell(list.known(hosts(entries), before.path("version").asLong(HostList.NONE)), entries);
+        hasList = !entries.isEmpty();
+        notifyNode(list.known(hosts(entries), cached.path("version").asLong(HostList.NONE)), entries);
     }
 
-    /** @param heard runs once: the node was told the first word of an agent, or the agent can't be had for now */
-    void start(Runnable heard) {
-        first = heard;
+    /**
+     * Starts to call the agent.
+     *
+     * @param whenListed runs once, when the node has received the first list of an agent or the agent is unavailable
+     */
+    void start(Runnable whenListed) {
+        onFirstList = whenListed;
         started = true;
-        node.loop.schedule(this::review, REVIEW_MS, TimeUnit.MILLISECONDS);
+        node.loop.schedule(this::checkAge, AGE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         connect();
     }
 
-    /** Turns to another agent, whose versions need not go on from those of the old one: the whole list is due. */
-    void move(InetSocketAddress to) {
-        if (to.equals(agent)) {
+    /** Changes to another agent. Its versions need not continue those of the previous one, so its whole list is fetched. */
+    void move(InetSocketAddress address) {
+        if (address.equals(agent)) {
             return;
         }
-        Node.log("discovery: from " + agent + " to " + to + ", list of version " + list.version(agent) + ", "
-                + (long) list.ageMs(node.clock.now()) + " ms old");
-        agent = to;
+        Node.log("discovery: changing from agent " + agent + " to " + address + "; the list has version "
+                + list.version(agent) + " and is " + (long) list.ageMs(node.clock.now()) + " ms old");
+        agent = address;
         failures = 0;
-        pace.moved();
-        notFailing();
+        backoff.moved();
+        resetFailureLog();
         if (!started) {
             return;
         }
-        Calls left = current;
-        if (left != null && left.heard && previous == null) {
-            previous = left;
-        } else if (left != null) {
-            left.drop(); // it has told nothing, and the one before it may still be watched
+        AgentConnection replaced = current;
+        if (replaced != null && replaced.updateAccepted && previous == null) {
+            previous = replaced;
+        } else if (replaced != null) {
+            replaced.close(); // no list of it was accepted, or an earlier agent is still watched
         }
         connect();
     }
 
-    /** Operators leave out these hosts and no others. */
+    /** Replaces the set of hosts that operators have excluded. */
     void leaveOut(Set<String> ids) {
         List<Host> changes = list.leaveOut(node.clock.now(), ids);
         if (!changes.isEmpty()) {
-            node.hostsTold(ListKind.CHANGES, entries(changes, Map.of()));
+            node.hostsTold(ListKind.CHANGES, withAddresses(changes, Map.of()));
         }
     }
 
-    /** Without any list the gateway takes no clients for so long, in milliseconds; a start that takes longer would fail. */
+    /**
+     * While it has no list, the gateway reports unhealthy for this long and gets no clients.
+     *
+     * @param ms limited, since a start that takes longer would be considered failed
+     */
     void awaitList(long ms) {
-        awaitsList = !listed;
+        waitsForList = !hasList;
         node.loop.schedule(() -> {
-            awaitsList = false;
-            if (!listed) {
-                Node.log("discovery: no list of hosts yet, from " + agent + " or from before the start; healthy without one, "
-                        + "as a start may take no longer");
+            waitsForList = false;
+            if (!hasList) {
+                Node.log("discovery: no list of hosts yet from agent " + agent + ", and none from before the start; reporting healthy "
+                        + "without hosts, as the time for a start is over; check that the agent responds");
             }
         }, ms, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether there is a list to go by, or none is waited for any longer. */
+    /** Returns whether there is a list of hosts, or the gateway no longer waits for one. */
     boolean ready() {
-        return listed || !awaitsList;
+        return hasList || !waitsForList;
     }
 
-    /** The hosts on the list, whatever their state. */
+    /** Returns the ids of the hosts on the list, whatever their state. */
     Set<String> listed() {
         return list.listed();
     }
 
-    /** A host gave an answer. */
+    /** Records a response of a host, as evidence that it is alive while the list is old. */
     void served(String host) {
         list.served(node.clock.now(), host);
     }
 
+    /** Opens a connection to the agent, which then replaces the current one. */
     private void connect() {
-        Calls calls = new Calls(agent);
-        current = calls;
-        pace.called(node.clock.now());
+        AgentConnection connection = new AgentConnection(agent);
+        current = connection;
+        backoff.called(node.clock.now());
         new Bootstrap().group(node.loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) pace.connectMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) backoff.connectMs())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), calls.lists, calls);
+                        ch.pipeline().addLast(new HttpClientCodec(), connection.listHandler, connection);
                     }
                 }).connect(agent).addListener(f -> {
                     if (!f.isSuccess()) {
-                        node.loop.execute(() -> failed(calls, f.cause())); // netty may tell it on a thread of its own
+                        node.loop.execute(() -> failed(connection, f.cause())); // Netty may notify on another thread
                     }
                 });
     }
 
-    /** A call came to nothing: another follows, later each time and not in step with other gateways. */
-    private void failed(Calls calls, Throwable cause) {
-        if (calls == previous) {
+    /** A call failed. It is retried with growing, randomized delays, so that gateways do not retry in step. */
+    private void failed(AgentConnection connection, Throwable cause) {
+        if (connection == previous) {
             previous = null;
         }
-        if (calls != current || calls.over) {
-            return; // another has taken over
+        if (connection != current || connection.failureHandled) {
+            return; // replaced by another connection, or its failure was already handled
         }
-        calls.over = true;
+        connection.failureHandled = true;
         boolean tooLong = cause instanceof ListTooLongException;
         logOnce(cause, tooLong);
-        long wait = waitAfter(calls, cause);
-        if (calls.turnedAway) {
+        long delayMs = retryDelayMs(connection, cause);
+        if (connection.rejected) {
             list.goOnFromKnown(agent);
         }
-        if (++failures >= GIVEN_UP || calls.turnedAway || tooLong) { // a start waits for neither
-            spoken();
+        // A start does not wait for a retry where the agent has rejected the call or its list is too long.
+        if (++failures >= FAILURES_UNTIL_UNAVAILABLE || connection.rejected || tooLong) {
+            runOnFirstList();
         }
-        node.loop.schedule(() -> retry(calls), wait, TimeUnit.MILLISECONDS); // ahead of what others may throw
-        if (calls.inTurn) {
+        // Scheduled before the call below, which may throw.
+        node.loop.schedule(() -> retry(connection), delayMs, TimeUnit.MILLISECONDS);
+        if (connection.holdsTurn) {
             node.lists().called(agent.toString(), false, null);
         }
     }
 
-    /** Calls anew after a failure, out of turn where taking turns fails: nothing else would ever call again. */
-    private void retry(Calls failed) {
+    /** Calls the agent again after a failure. If the shared fetch throws, it calls directly, since nothing else would retry. */
+    private void retry(AgentConnection failed) {
         if (failed != current) {
             return;
         }
         try {
-            again(failed);
+            callAgain(failed);
         } catch (RuntimeException | LinkageError e) {
             Node.log("defect: no turn to call discovery: " + e);
             connect();
         }
     }
 
-    /** One line for a spell of failures, however often it is asked, and one for a list that is too long. */
+    /** Logs one line for a series of failures, however many retries it has, and one for a list that is too long. */
     private void logOnce(Throwable cause, boolean tooLong) {
-        if (cause != null && (!failing || tooLong && !failingByLength)) {
-            Node.log("discovery: " + agent + ": " + String.valueOf(cause.getMessage()).lines().findFirst().orElse(""));
+        if (cause != null && (!failureLogged || tooLong && !tooLongLogged)) {
+            Node.log("discovery: call to agent " + agent + " failed and will be retried: "
+                    + String.valueOf(cause.getMessage()).lines().findFirst().orElse(""));
         }
-        failing |= cause != null;
-        failingByLength |= tooLong;
+        failureLogged |= cause != null;
+        tooLongLogged |= tooLong;
     }
 
-    private long waitAfter(Calls calls, Throwable cause) {
+    /** Returns the delay before the next call, in milliseconds. */
+    private long retryDelayMs(AgentConnection connection, Throwable cause) {
         double now = node.clock.now();
-        if (calls.turnedAway) {
-            return pace.turnedAway(now);
+        if (connection.rejected) {
+            return backoff.turnedAway(now);
         }
-        if (calls.fellSilent) {
-            return pace.fellSilent();
+        if (connection.watchTimedOut) {
+            return backoff.fellSilent();
         }
         if (cause instanceof ListTooLongException) {
-            return pace.tooLong(now);
+            return backoff.tooLong(now);
         }
-        return calls.unusable ? pace.unusable(now) : pace.broke(now);
+        return connection.invalidResponse ? backoff.unusable(now) : backoff.broke(now);
     }
 
-    /** Calls an agent anew: where it was away, or its whole list is due, in turn with the other gateways. */
-    private void again(Calls before) {
-        if (first != null || failures < GIVEN_UP && list.version(agent) != HostList.NONE) {
+    /** Calls the agent again. If it was unavailable or its whole list is needed, the gateways take turns to fetch the list. */
+    private void callAgain(AgentConnection failed) {
+        if (onFirstList != null || failures < FAILURES_UNTIL_UNAVAILABLE && list.version(agent) != HostList.NONE) {
             connect();
             return;
         }
-        InetSocketAddress asked = agent;
-        AtomicBoolean over = new AtomicBoolean(); // the turn is had or given up
-        Consumer<SharedListFetch.Told> turn = told -> onLoop(() -> {
-            if (!over.getAndSet(true) && before == current) {
-                goOn(before, asked, told);
+        InetSocketAddress calledAgent = agent;
+        AtomicBoolean done = new AtomicBoolean(); // the turn has come, or is no longer waited for
+        Consumer<SharedListFetch.Told> turn = fetched -> onLoop(() -> {
+            if (!done.getAndSet(true) && failed == current) {
+                onTurn(failed, calledAgent, fetched);
             }
         });
-        node.lists().due(asked.toString(), turn);
-        if (!over.get()) {
-            node.loop.schedule(() -> turn.accept(null), pace.turnMs(node.clock.now()), TimeUnit.MILLISECONDS);
+        node.lists().due(calledAgent.toString(), turn);
+        if (!done.get()) {
+            node.loop.schedule(() -> turn.accept(null), backoff.turnMs(node.clock.now()), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void onLoop(Runnable what) {
+    private void onLoop(Runnable task) {
         if (node.loop.inEventLoop()) {
-            what.run();
+            task.run();
         } else {
-            node.loop.execute(what);
+            node.loop.execute(task);
         }
     }
 
-    /** It is this gateway's turn to call, or a list came that another was told. */
-    private void goOn(Calls before, InetSocketAddress asked, SharedListFetch.Told told) {
-        if (told != null && !taken(asked, told)) { // as one of an agent that counts anew, for a while
-            node.loop.schedule(() -> retry(before), pace.broke(node.clock.now()), TimeUnit.MILLISECONDS);
+    /**
+     * Calls the agent.
+     *
+     * @param fetched a list that another gateway has fetched; null if it is this gateway's turn to call
+     */
+    private void onTurn(AgentConnection failed, InetSocketAddress calledAgent, SharedListFetch.Told fetched) {
+        // For a while, a list is rejected whose agent has restarted its versions.
+        if (fetched != null && !applyFetched(calledAgent, fetched)) {
+            node.loop.schedule(() -> retry(failed), backoff.broke(node.clock.now()), TimeUnit.MILLISECONDS);
             return;
         }
-        if (told != null) {
+        if (fetched != null) {
             failures = 0;
-            notFailing();
+            resetFailureLog();
         }
         connect();
-        current.takeTurn(told == null);
+        current.setHoldsTurn(fetched == null);
     }
 
-    private void notFailing() {
-        failing = false;
-        failingByLength = false;
+    private void resetFailureLog() {
+        failureLogged = false;
+        tooLongLogged = false;
     }
 
-    /** Takes a list that another gateway was told, as if the agent had told it here. */
-    private boolean taken(InetSocketAddress by, SharedListFetch.Told told) {
+    /** Applies a list that another gateway has fetched as if this one had. Returns whether it was accepted. */
+    private boolean applyFetched(InetSocketAddress sender, SharedListFetch.Told fetched) {
         try {
-            HostListParser parser = new HostListParser(limit.hosts());
-            parser.feed(told.text().getBytes(StandardCharsets.UTF_8));
-            return take(by, parser.end());
+            HostListParser parser = new HostListParser(hostLimit.hosts());
+            parser.feed(fetched.text().getBytes(StandardCharsets.UTF_8));
+            return applyUpdate(sender, parser.end());
         } catch (IOException | RuntimeException e) {
-            Node.log("discovery: " + by + " as another gateway was told: " + e.getMessage());
+            Node.log("discovery: cannot use the list of agent " + sender + " that another gateway fetched: " + e.getMessage());
             return false;
         }
     }
 
-    /** Takes a word of an agent, or not. What can't be told on is asked for again, and not lost. */
-    private boolean take(InetSocketAddress by, HostListAnswer said) throws ListTooLongException {
-        List<Entry> entries = said.entries();
+    /**
+     * Offers a response to the list and passes the resulting changes to the node. If the node fails, the whole list is fetched
+     * again, so that no change is lost. Returns whether the response was accepted.
+     */
+    private boolean applyUpdate(InetSocketAddress sender, HostListAnswer update) throws ListTooLongException {
+        List<Entry> entries = update.entries();
         List<Host> hosts = hosts(entries);
-        if (!said.full() && list.listedWith(hosts) > limit.hosts()) {
-            throw new ListTooLongException(limit.hosts());
-        }
-        HostList.Told told = list.heard(node.clock.now(), by, said.version(), said.full(), hosts);
-        listed |= told.taken();
-        if (told.taken() && (told.kind() == ListKind.FULL || !told.hosts().isEmpty())) {
-            if (told.kind() == ListKind.FULL) {
-                Node.log("discovery: " + by + " lists " + told.hosts().size() + " hosts, version " + said.version());
+        if (!update.full() && list.listedWith(hosts) > hostLimit.hosts()) {
+            throw new ListTooLongException(hostLimit.hosts());
+        }
+        HostList.Told result = list.heard(node.clock.now(), sender, update.version(), update.full(), hosts);
+        hasList |= result.taken();
+        if (result.taken() && (result.kind() == ListKind.FULL || !result.hosts().isEmpty())) {
+            if (result.kind() == ListKind.FULL) {
+                Node.log("discovery: agent " + sender + " lists " + result.hosts().size() + " hosts, version " + update.version());
             }
             try {
-                tell(told, entries);
-            } catch (RuntimeException e) { // else what this word changed would never be told again
+                notifyNode(result, entries);
+            } catch (RuntimeException e) { // otherwise these changes would never reach the node
                 list.lost();
                 throw e;
             }
         }
-        return told.taken();
+        return result.taken();
     }
 
-    private void spoken() {
-        Runnable ready = first;
-        first = null;
-        if (ready != null) {
-            ready.run();
+    /** Runs the callback of the start, once. */
+    private void runOnFirstList() {
+        Runnable callback = onFirstList;
+        onFirstList = null;
+        if (callback != null) {
+            callback.run();
         }
     }
 
-    private void review() {
-        node.loop.schedule(this::review, REVIEW_MS, TimeUnit.MILLISECONDS);
+    /** Periodically checks the age of the list; while it is old, hosts without a recent response get no new requests. */
+    private void checkAge() {
+        node.loop.schedule(this::checkAge, AGE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         double now = node.clock.now();
         List<Host> changes = list.review(now);
-        boolean late = list.ageMs(now) > HostList.Limits.DEFAULT.vouchMs();
-        if (late && !old) {
-            Node.log("discovery: the list is " + (long) list.ageMs(now) + " ms old; hosts that do not answer are put "
-                    + "aside: " + changes.size());
+        boolean stale = list.ageMs(now) > HostList.Limits.DEFAULT.vouchMs();
+        if (stale && !ageLogged) {
+            Node.log("discovery: the list of hosts is " + (long) list.ageMs(now) + " ms old; check that the agent responds; hosts "
+                    + "that have not answered in that time get no new requests: " + changes.size());
         }
-        old = late;
+        ageLogged = stale;
         if (!changes.isEmpty()) {
-            node.hostsTold(ListKind.CHANGES, entries(changes, Map.of()));
+            node.hostsTold(ListKind.CHANGES, withAddresses(changes, Map.of()));
         }
     }
 
-    /** Tells the node what the list made of a word. What can't be told is asked for again, and not lost. */
-    private void tell(HostList.Told told, List<Entry> from) {
+    /** Passes the result of an update to the node, with the addresses of its entries. */
+    private void notifyNode(HostList.Told result, List<Entry> from) {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         for (Entry e : from) {
             addresses.put(e.host().id(), e.address());
         }
-        node.hostsTold(told.kind(), entries(told.hosts(), addresses));
+        node.hostsTold(result.kind(), withAddresses(result.hosts(), addresses));
     }
 
-    private static List<Entry> entries(List<Host> hosts, Map<String, InetSocketAddress> addresses) {
+    private static List<Entry> withAddresses(List<Host> hosts, Map<String, InetSocketAddress> addresses) {
         List<Entry> entries = new ArrayList<>(hosts.size());
         for (Host h : hosts) {
             entries.add(new Entry(h, addresses.get(h.id())));
@@ -360,6 +388,7 @@
         return entries;
     }
 
+    /** Returns the hosts of entries, in their order. */
     static List<Host> hosts(List<Entry> entries) {
         List<Host> hosts = new ArrayList<>(entries.size());
         for (Entry e : entries) {
@@ -368,28 +397,28 @@
         return hosts;
     }
 
-    /** The calls on one connection to an agent. */
-    private final class Calls extends SimpleChannelInboundHandler<HostListHandler.Answer> {
-        private final InetSocketAddress to;
-        private final HostListHandler lists = new HostListHandler(limit.hosts());
+    /** One connection to an agent, with one call at a time: first for the whole list if it is needed, then for changes. */
+    private final class AgentConnection extends SimpleChannelInboundHandler<HostListHandler.Response> {
+        private final InetSocketAddress address;
+        private final HostListHandler listHandler = new HostListHandler(hostLimit.hosts());
         private Channel channel;
         private Future<?> timeout;
-        private boolean heard; // a word of it was taken
-        private boolean over;
-        private boolean turnedAway;
-        private boolean fellSilent; // a watch that got no answer in its time
-        private boolean unusable; // an answer of which nothing could be taken
-        private int answers;
-        private boolean comesIn; // a part of its answer is here
-        private double partAt; // when the last one came
-        private boolean whole; // the list was asked for, and not what changed
-        private boolean inTurn; // others wait for what comes of the first call
-
-        Calls(InetSocketAddress to) {
-            this.to = to;
-        }
-
-        void drop() {
+        private boolean updateAccepted; // a list or changes from it were accepted
+        private boolean failureHandled;
+        private boolean rejected; // the agent answered 503
+        private boolean watchTimedOut; // a watch timed out
+        private boolean invalidResponse; // a response was invalid
+        private int responses;
+        private boolean responseStarted; // a part of the current response has arrived
+        private double lastPartAt; // when the last part arrived
+        private boolean wholeListRequested; // the current call is for the whole list, not for changes
+        private boolean holdsTurn; // other gateways wait for the result of the first call
+
+        AgentConnection(InetSocketAddress address) {
+            this.address = address;
+        }
+
+        void close() {
             if (channel != null) {
                 channel.close();
             }
@@ -405,50 +434,55 @@
             }
         }
 
+        /** Sends the next call: for the whole list if it is needed, otherwise a watch for changes. */
         private void call() {
-            long from = list.version(to);
-            whole = from == HostList.NONE;
+            long from = list.version(address);
+            wholeListRequested = from == HostList.NONE;
             double now = node.clock.now();
-            long limitMs = whole ? pace.patienceMs() : this == current ? pace.watchMs(now) : PollingBackoff.WATCH_MS;
-            String uri = whole ? PATH : PATH + "?from=" + from + "&hold_ms=" + pace.holdMs(limitMs);
+            long timeoutMs = wholeListRequested ? backoff.patienceMs() : this == current ? backoff.watchMs(now) : PollingBackoff.WATCH_MS;
+            String uri = wholeListRequested ? SERVERS_PATH : SERVERS_PATH + "?from=" + from + "&hold_ms=" + backoff.holdMs(timeoutMs);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
                     Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, "discovery");
             channel.writeAndFlush(request, channel.voidPromise());
-            comesIn = false;
-            timeout = node.loop.schedule(this::timeUp, limitMs, TimeUnit.MILLISECONDS);
+            responseStarted = false;
+            timeout = node.loop.schedule(this::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
         }
 
-        /** An answer that stands in the socket by now was not late, this loop was; one that is coming in may go on. */
-        private void timeUp() {
-            int before = answers;
+        /**
+         * The time for a response is over. One that is already in the socket was not late, this event loop was, so it is
+         * read first. A response of which parts keep arriving gets more time.
+         */
+        private void onTimeout() {
+            int responsesBefore = responses;
             if (channel.isActive()) {
                 Transport.readNow(channel);
             }
-            if (answers != before) {
+            if (responses != responsesBefore) {
                 return;
             }
             double now = node.clock.now();
-            double until = Math.min(partAt + pace.patienceMs(), pace.nextCallBy());
-            if (comesIn && channel.isActive() && now < until) {
-                timeout = node.loop.schedule(this::timeUp, (long) Math.ceil(until - now), TimeUnit.MILLISECONDS);
+            double deadline = Math.min(lastPartAt + backoff.patienceMs(), backoff.nextCallBy());
+            if (responseStarted && channel.isActive() && now < deadline) {
+                timeout = node.loop.schedule(this::onTimeout, (long) Math.ceil(deadline - now), TimeUnit.MILLISECONDS);
                 return;
             }
-            fellSilent = !whole && heard;
-            drop();
+            watchTimedOut = !wholeListRequested && updateAccepted;
+            close();
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event == HostListHandler.Progress.PART) {
-                comesIn = true;
-                partAt = node.clock.now();
+                responseStarted = true;
+                lastPartAt = node.clock.now();
             }
         }
 
-        void takeTurn(boolean mine) {
-            inTurn = mine;
-            lists.keepText(mine && node.lists() != SharedListFetch.NONE ? TEXT_MAX : 0);
+        /** @param isMine whether other gateways wait for the result; the text of the list is then kept for them */
+        void setHoldsTurn(boolean isMine) {
+            holdsTurn = isMine;
+            listHandler.keepText(isMine && node.lists() != SharedListFetch.NONE ? MAX_SHARED_TEXT_BYTES : 0);
         }
 
         private void stopTimeout() {
@@ -458,50 +492,51 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HostListHandler.Answer answer) throws IOException {
+        protected void channelRead0(ChannelHandlerContext ctx, HostListHandler.Response response) throws IOException {
             if (this != current && this != previous) {
-                return; // an agent that was left: its word may be older than what the new one told
+                return; // from a former agent: its list may be older than that of the new one
             }
-            answers++;
+            responses++;
             stopTimeout();
-            if (!answer.status().equals(HttpResponseStatus.OK)) {
-                turnedAway = answer.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                throw new IOException("discovery answered " + answer.status());
+            if (!response.status().equals(HttpResponseStatus.OK)) {
+                rejected = response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
+                throw new IOException("expected status 200, but the agent answered " + response.status());
             }
-            HostListAnswer said = answer.list();
-            long before = list.version(to);
-            boolean taken = take(to, said);
-            if (inTurn) { // whether it is believed here or not yet: the others decide for themselves
-                takeTurn(false);
-                node.lists().called(to.toString(), true, said.full() ? answer.text() : null);
+            HostListAnswer update = response.list();
+            long versionBefore = list.version(address);
+            boolean accepted = applyUpdate(address, update);
+            if (holdsTurn) { // even if it was not accepted here: other gateways decide for themselves
+                setHoldsTurn(false);
+                node.lists().called(address.toString(), true, update.full() ? response.text() : null);
             }
-            if (!taken) {
-                throw new IOException("a word of version " + said.version() + " where " + before + " is held");
+            if (!accepted) {
+                throw new IOException("the agent sent version " + update.version() + " of the list, but version " + versionBefore
+                        + " is held");
             }
-            takenFrom(ctx, answer.keepAlive());
-            spoken();
+            onUpdateAccepted(ctx, response.keepAlive());
+            runOnFirstList();
         }
 
-        private void takenFrom(ChannelHandlerContext ctx, boolean keepAlive) {
-            heard = true;
+        private void onUpdateAccepted(ChannelHandlerContext ctx, boolean keepAlive) {
+            updateAccepted = true;
             if (this == current) {
                 failures = 0;
-                notFailing();
-                Calls left = previous;
+                resetFailureLog();
+                AgentConnection replaced = previous;
                 previous = null;
-                if (left != null) {
-                    left.drop();
+                if (replaced != null) {
+                    replaced.close();
                 }
             }
-            long wait = this == current ? pace.answered(node.clock.now()) : 0;
-            if (keepAlive && wait == 0) {
-                call(); // the next call first, so that no change falls between
+            long delayMs = this == current ? backoff.answered(node.clock.now()) : 0;
+            if (keepAlive && delayMs == 0) {
+                call(); // at once, so that no change is missed in between
             } else if (keepAlive) {
                 node.loop.schedule(() -> {
                     if (channel.isActive()) {
                         call();
                     }
-                }, wait, TimeUnit.MILLISECONDS);
+                }, delayMs, TimeUnit.MILLISECONDS);
             } else {
                 ctx.close();
             }
@@ -515,9 +550,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            unusable = !(cause instanceof IOException) || cause instanceof UnreadableListException;
+            invalidResponse = !(cause instanceof IOException) || cause instanceof UnreadableListException;
             if (cause instanceof UnreadableListException && (this == current || this == previous)) {
-                list.lost(); // what it told is lost, and the whole list holds it too
+                list.lost(); // its changes are lost; the whole list includes them
             }
             ctx.close();
             failed(this, cause);
@@ -525,20 +560,20 @@
     }
 
     /**
-     * The entries of a list in discovery's form. One that can't be read must not keep the others from being heard,
-     * nor may its host get more work on the strength of what was told before: where it has a name, it drains.
+     * Reads the entries of a list in discovery's format. An invalid entry does not affect the others. If it has an id, its
+     * host is listed as draining, since it must not get new requests because of an earlier list.
      */
-    static List<Entry> entries(JsonNode list) {
+    static List<Entry> readEntries(JsonNode list) {
         List<Entry> entries = new ArrayList<>();
         HostEntryReader reader = new HostEntryReader();
         for (JsonNode e : list.path(LIST)) {
             reader.set(e);
             try {
-                entries.add(reader.entry());
-            } catch (IllegalArgumentException bad) {
-                Node.log("discovery: entry '" + reader.id() + "': " + bad.getMessage());
-                if (reader.drained() != null) {
-                    entries.add(reader.drained());
+                entries.add(reader.toEntry());
+            } catch (IllegalArgumentException invalid) {
+                Node.log("discovery: invalid entry '" + reader.id() + "' in the list of hosts: " + invalid.getMessage());
+                if (reader.toDrainingEntry() != null) {
+                    entries.add(reader.toDrainingEntry());
                 }
             }
         }
--- a/gateway/src/main/java/marlford/gateway/net/HostClient.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostClient.java
@@ -36,51 +36,58 @@
 import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.accept.Backoff;
 
-/** The pools of connections to hosts, and what is sent on them. */
+/**
+ * Sends attempts and probes to hosts over pooled connections, one pool per host. Not thread-safe; runs on the node's event
+ * loop.
+ */
 final class HostClient {
-    private static final String HOST = "backend.local";
-    private static final String REPORT = "Endpoint-Load-Metrics";
-    private static final double IDLE_SHARE = 0.6; // of the time after which a host may close an idle connection
+    private static final String HOST_HEADER_VALUE = "backend.local";
+    private static final String LOAD_REPORT_HEADER = "Endpoint-Load-Metrics";
+    private static final double MAX_IDLE_SHARE = 0.6; // share of the idle time after which a host may close a connection
     /**
-     * For so long after an answer its connection carries nothing else. A host that answers twice does so some milliseconds
-     * later, by the platform's word; where the next request is on its way by then, nothing tells the two apart. The same
-     * everywhere, as it is of the hosts' faults and not of a deployment's traffic.
+     * How long a connection is not reused after a response. According to the platform, a host that sends a response twice
+     * sends the second one some milliseconds later; if the next request were already in flight, the duplicate could not be
+     * distinguished from its response. It is a property of host faults, not of a deployment's traffic, and so not configurable.
      */
     static final double REST_MS = 10;
-    /** One that has rested for so long is taken first; to wait for it would cost new connections, which may come late. */
-    static final double RESTED_MS = 50;
-    private static final double SWEEP_SHARE = 0.1; // of that time: how often idle connections are looked at
-    private static final long SWEEP_LEAST_MS = 20; // that costs a share of a core, however short the time is
-    private static final long SWEEP_MOST_MS = 500; // descriptors of hosts that get nothing more are free by then
-    private static final double SOCKET_SHARE = 0.36; // of all descriptors; the program itself needs some, too
-    private static final double LOCAL_FAILURE_MS = 500; // for so long a request waits for this machine to make a connection
-    private static final long SHORTEST_PAUSE_MS = 1; // between tries of it
-    private static final long LONGEST_PAUSE_MS = 50;
-    private static final double PROBE_TIMEOUT_MS = 250; // the platform's own for all deployments: their files have it fixed
+    /**
+     * A connection that was idle for this long is preferred. It is not waited for: that would open more new connections, which
+     * may take long to come up.
+     */
+    static final double PREFERRED_REST_MS = 50;
+    private static final double IDLE_CHECK_INTERVAL_SHARE = 0.1; // interval of the check for idle connections, as a share of that time
+    private static final long MIN_IDLE_CHECK_INTERVAL_MS = 20; // bounds the CPU use of the check if that time is short
+    private static final long MAX_IDLE_CHECK_INTERVAL_MS = 500; // bounds how long unused connections to idle hosts hold descriptors
+    private static final double HOST_CONNECTION_SHARE = 0.36; // share of all descriptors; clients and the process itself need the others
+    private static final double LOCAL_FAILURE_RETRY_MS = 500; // how long a connect that fails on this machine is retried for a request
+    private static final long MIN_CONNECT_RETRY_DELAY_MS = 1; // between these retries
+    private static final long MAX_CONNECT_RETRY_DELAY_MS = 50;
+    private static final double PROBE_TIMEOUT_MS = 250; // given by the platform: fixed in the settings of every deployment
 
     private final Node node;
     private final Map<String, Pool> pools = new LinkedHashMap<>();
-    private final List<Pool> left = new ArrayList<>(); // closed, and what was coming up there is not given up yet
+    private final List<Pool> retiredPools = new ArrayList<>(); // closed, but their pending connects are not failed yet
     private final Bootstrap bootstrap;
     private final int maxConnections;
-    private final long sweepMs;
+    private final long idleCheckIntervalMs;
     private int connections;
 
     HostClient(Node node) {
         this.node = node;
-        this.maxConnections = (int) (node.config.sockets() * SOCKET_SHARE);
+        this.maxConnections = (int) (node.config.sockets() * HOST_CONNECTION_SHARE);
         this.bootstrap = node.transport.client(node.loop)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, node.config.connectTimeoutMs()));
-        this.sweepMs = (long) Math.max(SWEEP_LEAST_MS, Math.min(SWEEP_MOST_MS, node.config.idleMs() * SWEEP_SHARE));
-        node.loop.schedule(this::closeIdle, sweepMs, TimeUnit.MILLISECONDS);
+        this.idleCheckIntervalMs = (long) Math.max(MIN_IDLE_CHECK_INTERVAL_MS,
+                Math.min(MAX_IDLE_CHECK_INTERVAL_MS, node.config.idleMs() * IDLE_CHECK_INTERVAL_SHARE));
+        node.loop.schedule(this::closeIdle, idleCheckIntervalMs, TimeUnit.MILLISECONDS);
     }
 
-    /** The connections to one host at one address in one life of its process. */
-    private static final class Pool implements HostConnection.Home {
+    /** The connections to one host at one address and in one incarnation of its process. */
+    private static final class Pool implements HostConnection.Owner {
         final InetSocketAddress address;
         final double startedMs;
-        final ArrayDeque<HostConnection> idle = new ArrayDeque<>(); // the last used at the end
-        final Set<HostConnection> comingUp = new LinkedHashSet<>(); // nothing was written on them yet
+        final ArrayDeque<HostConnection> idle = new ArrayDeque<>(); // the most recently used last
+        final Set<HostConnection> connecting = new LinkedHashSet<>(); // not established yet
         boolean closed;
 
         Pool(InetSocketAddress address, double startedMs) {
@@ -88,59 +95,67 @@
             this.startedMs = startedMs;
         }
 
-        /** Takes the last used of those that have rested well, or else enough; null where there is none. */
-        HostConnection rested(double now) {
-            HostConnection well = idleSince(now - RESTED_MS);
-            return well != null ? well : idleSince(now - REST_MS);
+        /**
+         * Removes and returns the most recently used connection that was idle for {@link #PREFERRED_REST_MS}, or else one that was
+         * idle for {@link #REST_MS}; null if there is none.
+         */
+        HostConnection pollRested(double now) {
+            HostConnection preferred = pollIdleSince(now - PREFERRED_REST_MS);
+            return preferred != null ? preferred : pollIdleSince(now - REST_MS);
         }
 
-        private HostConnection idleSince(double since) {
+        private HostConnection pollIdleSince(double since) {
             for (Iterator<HostConnection> all = idle.descendingIterator(); all.hasNext();) {
-                HostConnection c = all.next();
-                if (c.idleSince() <= since) {
+                HostConnection connection = all.next();
+                if (connection.idleSince() <= since) {
                     all.remove();
-                    return c;
+                    return connection;
                 }
             }
             return null;
         }
 
         @Override
-        public boolean closed() {
+        public boolean isClosed() {
             return closed;
         }
 
         @Override
-        public void resting(HostConnection c) {
-            idle.addLast(c);
+        public void onIdle(HostConnection connection) {
+            idle.addLast(connection);
         }
 
         @Override
-        public void gone(HostConnection c) {
-            idle.remove(c);
+        public void onClosed(HostConnection connection) {
+            idle.remove(connection);
         }
     }
 
-    // ---- the list
+    // ---- the list of hosts
 
+    /**
+     * Brings the pools in line with a list of hosts. A pool is closed if its host is gone or absent from a whole list; it is
+     * replaced if the host's address or incarnation has changed.
+     */
     void listed(ListKind kind, List<Discovery.Entry> entries) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Discovery.Entry e : entries) {
             String id = e.host().id();
-            named.add(id);
-            Pool old = pools.get(id);
-            boolean same = old != null && old.address.equals(e.address()) && old.startedMs == e.host().startedMs();
+            listedIds.add(id);
+            Pool previous = pools.get(id);
+            boolean same = previous != null && previous.address.equals(e.address())
+                    && previous.startedMs == e.host().startedMs();
             if (e.host().state() == HostState.GONE) {
                 pools.remove(id);
-                close(old);
+                close(previous);
             } else if (!same && e.address() != null) {
                 pools.put(id, new Pool(e.address(), e.host().startedMs()));
-                close(old);
+                close(previous);
             }
         }
         if (kind != ListKind.CHANGES) {
             pools.entrySet().removeIf(p -> {
-                boolean absent = !named.contains(p.getKey());
+                boolean absent = !listedIds.contains(p.getKey());
                 if (absent) {
                     close(p.getValue());
                 }
@@ -150,271 +165,291 @@
     }
 
     /**
-     * What was to go to a host that takes nothing new, and whose connection has not come up yet, goes to another one: a
-     * connection may be so late that the drain's grace is over by then. To be called once the module knows of the drain,
-     * or it would choose the same host again.
+     * Fails the pending connects to hosts that accept no new requests, so that their requests go to other hosts: a
+     * connection may come up only after the drain's grace period. To be called after the decision engine has received
+     * the list, or it would choose the same host again.
      */
     void giveUpComingUp(List<Discovery.Entry> entries) {
         for (Discovery.Entry e : entries) {
             Pool pool = pools.get(e.host().id());
             if (pool != null && e.host().state() != HostState.RUNNING) {
-                giveUpComingUp(pool);
+                failPendingConnects(pool);
             }
         }
-        for (Pool pool : List.copyOf(left)) {
-            giveUpComingUp(pool);
+        for (Pool pool : List.copyOf(retiredPools)) {
+            failPendingConnects(pool);
         }
-        left.clear();
+        retiredPools.clear();
     }
 
-    private static void giveUpComingUp(Pool pool) {
-        List.copyOf(pool.comingUp).forEach(HostConnection::lost);
+    private static void failPendingConnects(Pool pool) {
+        List.copyOf(pool.connecting).forEach(HostConnection::fail);
     }
 
     private void close(Pool pool) {
         if (pool != null) {
-            left.add(pool);
+            retiredPools.add(pool);
             pool.closed = true;
             List.copyOf(pool.idle).forEach(HostConnection::close);
         }
     }
 
+    /** Periodically closes the connections that have been idle for too long. */
     private void closeIdle() {
-        node.loop.schedule(this::closeIdle, sweepMs, TimeUnit.MILLISECONDS);
-        double before = idleBefore();
+        node.loop.schedule(this::closeIdle, idleCheckIntervalMs, TimeUnit.MILLISECONDS);
+        double idleLimit = oldestUsableIdleTime();
         for (Pool pool : pools.values()) {
-            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince() < before) {
+            while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSince() < idleLimit) {
                 pool.idle.pollFirst().close();
             }
         }
     }
 
-    /** Idle since before then, a connection may meet its host's own closing on the way, and carries nothing more. */
-    private double idleBefore() {
-        return node.clock.now() - node.config.idleMs() * IDLE_SHARE;
+    /** A connection that has been idle since before this time is not reused: its host may be closing it at the moment. */
+    private double oldestUsableIdleTime() {
+        return node.clock.now() - node.config.idleMs() * MAX_IDLE_SHARE;
     }
 
-    /** Makes room for one more connection at the cost of one that is idle somewhere. */
-    private boolean room() {
+    /** Closes an idle connection if the maximum is reached. Returns whether one more connection may be opened. */
+    private boolean ensureCapacity() {
         if (connections < maxConnections) {
             return true;
         }
         for (Pool pool : pools.values()) {
-            HostConnection c = pool.idle.pollFirst();
-            if (c != null) {
-                c.close();
+            HostConnection connection = pool.idle.pollFirst();
+            if (connection != null) {
+                connection.close();
                 return true;
             }
         }
         return false;
     }
 
-    // ---- asking
+    // ---- requests to hosts
 
-    void send(Attempt a) {
-        start(a.host, a, () -> attemptMessage(a), LOCAL_FAILURE_MS);
+    /** Sends an attempt to its host; the outcome is reported to the attempt. */
+    void send(Attempt attempt) {
+        startExchange(attempt.host, attempt, () -> attemptMessage(attempt), LOCAL_FAILURE_RETRY_MS);
     }
 
-    private FullHttpRequest attemptMessage(Attempt a) {
-        node.leaves(a);
-        FullHttpRequest from = a.owner.message;
-        RequestBodyStream rest = StreamedRequest.restOf(from);
-        HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri());
-        HttpHeaders h = head.headers();
-        h.set(HttpHeaderNames.HOST, HOST);
-        h.set(RequestParser.ID, a.owner.request.id());
-        h.set(RequestParser.EXPIRES,
-                Long.toString((long) Math.max(1, a.owner.request.deadlineMs() - node.clock.now())));
-        String key = from.headers().get(RequestParser.KEY);
+    /** Builds an attempt's request. Called right before it is written; the node records the attempt as sent. */
+    private FullHttpRequest attemptMessage(Attempt attempt) {
+        node.leaves(attempt);
+        FullHttpRequest received = attempt.owner.message;
+        RequestBodyStream rest = StreamedRequest.restOf(received);
+        HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, received.method(), received.uri());
+        HttpHeaders headers = head.headers();
+        headers.set(HttpHeaderNames.HOST, HOST_HEADER_VALUE);
+        headers.set(RequestParser.ID, attempt.owner.request.id());
+        headers.set(RequestParser.EXPIRES,
+                Long.toString((long) Math.max(1, attempt.owner.request.deadlineMs() - node.clock.now())));
+        String key = received.headers().get(RequestParser.KEY);
         if (key != null) {
-            h.set(RequestParser.KEY, key);
+            headers.set(RequestParser.KEY, key);
         }
-        String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
+        String type = received.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
-            h.set(HttpHeaderNames.CONTENT_TYPE, type);
+            headers.set(HttpHeaderNames.CONTENT_TYPE, type);
         }
-        ByteBuf kept = from.content().retainedDuplicate();
+        ByteBuf buffered = received.content().retainedDuplicate();
         if (rest != null) {
             if (rest.length() < 0) {
                 HttpUtil.setTransferEncodingChunked(head, true);
             } else {
                 HttpUtil.setContentLength(head, rest.length());
             }
-            return new StreamedRequest(head, kept, rest);
+            return new StreamedRequest(head, buffered, rest);
         }
-        if (!from.method().equals(HttpMethod.GET)) {
-            h.setInt(HttpHeaderNames.CONTENT_LENGTH, kept.readableBytes());
+        if (!received.method().equals(HttpMethod.GET)) {
+            headers.setInt(HttpHeaderNames.CONTENT_LENGTH, buffered.readableBytes());
         }
-        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(), kept, h,
+        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, received.method(), received.uri(), buffered, headers,
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    /** Takes what came of a probe, with what the host reports of itself. */
-    interface ProbeEnd {
-        void ended(Outcome outcome, double tookMs, double[] report);
+    /** Receives the result of a probe. */
+    interface ProbeCallback {
+        /**
+         * @param tookMs from the call of {@link #probe} on
+         * @param report the load figures in the order of the settings; empty if there is none or it cannot be read
+         */
+        void probeEnded(Outcome outcome, double tookMs, double[] report);
     }
 
-    void probe(String host, ProbeEnd end) {
+    /** Sends a probe, which ends within {@value #PROBE_TIMEOUT_MS} ms. It asks for a load report if the settings name figures. */
+    void probe(String host, ProbeCallback callback) {
         List<String> names = node.config.settings().reportNames();
         String path = names.isEmpty() ? "/healthz" : "/load";
         double sentAt = node.clock.now();
         HostConnection.Exchange probe = new HostConnection.Exchange() {
-            private boolean over;
+            private boolean reported;
 
             @Override
             void ended(Outcome outcome, FullHttpResponse response) {
-                if (!over) {
-                    over = true;
-                    end.ended(outcome, node.clock.now() - sentAt, response == null ? new double[0]
-                            : parse(response.content().toString(StandardCharsets.US_ASCII)));
+                if (!reported) {
+                    reported = true;
+                    callback.probeEnded(outcome, node.clock.now() - sentAt, response == null ? new double[0]
+                            : parseReport(response.content().toString(StandardCharsets.US_ASCII)));
                 }
             }
         };
-        start(host, probe, () -> {
+        startExchange(host, probe, () -> {
             FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
                     Unpooled.EMPTY_BUFFER);
-            message.headers().set(HttpHeaderNames.HOST, HOST);
+            message.headers().set(HttpHeaderNames.HOST, HOST_HEADER_VALUE);
             return message;
         }, 0);
         node.loop.schedule(() -> {
             probe.look();
-            if (probe.under()) {
+            if (probe.isPending()) {
                 probe.abandon();
                 probe.ended(Outcome.TIMEOUT, null);
             }
         }, (long) PROBE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** @param retryMs for how long a connection is tried again that this machine can't make */
-    private void start(String host, HostConnection.Exchange x, Message message, double retryMs) {
+    /**
+     * Sends a request on a pooled connection, or on a new one if there is none.
+     *
+     * @param retryMs how long a connect that fails on this machine is retried
+     */
+    private void startExchange(String host, HostConnection.Exchange exchange, RequestFactory requestFactory, double retryMs) {
         Pool pool = pools.get(host);
         if (pool == null) {
-            x.ended(Outcome.CONNECT_FAILED, null); // its address was taken from the list
+            exchange.ended(Outcome.CONNECT_FAILED, null); // the host is no longer on the list
             return;
         }
         double now = node.clock.now();
-        for (HostConnection c = pool.rested(now); c != null; c = pool.rested(now)) {
-            if (c.idleSince() < idleBefore()) { // the sweep has not come to it yet
-                c.close();
-            } else if (c.ready()) {
-                c.write(x, message.build());
+        for (HostConnection connection = pool.pollRested(now); connection != null; connection = pool.pollRested(now)) {
+            if (connection.idleSince() < oldestUsableIdleTime()) { // not yet closed by the periodic check
+                connection.close();
+            } else if (connection.readAndCheckActive()) {
+                connection.write(exchange, requestFactory.build());
                 return;
             }
         }
-        new Opening(pool, x, message, now + retryMs).begin();
+        new PendingConnection(pool, exchange, requestFactory, now + retryMs).start();
     }
 
-    private interface Message {
+    /** Builds a request once there is a connection to write it to. */
+    private interface RequestFactory {
         FullHttpRequest build();
     }
 
     /**
-     * A connection that comes up for one exchange. Where this machine can't make one, that is no word on the host, and it is tried
-     * again after a short pause, without a further attempt.
+     * Establishes a new connection for one exchange. A failure on this machine is no evidence about the host: the connect is
+     * retried after a short delay, within the same attempt.
      */
-    private final class Opening {
+    private final class PendingConnection {
         private final Pool pool;
         private final HostConnection.Exchange exchange;
-        private final Message message;
-        private final Backoff backoff = new Backoff(SHORTEST_PAUSE_MS, LONGEST_PAUSE_MS);
-        private final double retriedUntil;
+        private final RequestFactory requestFactory;
+        private final Backoff backoff = new Backoff(MIN_CONNECT_RETRY_DELAY_MS, MAX_CONNECT_RETRY_DELAY_MS);
+        private final double retryUntil;
         private HostConnection connection;
 
-        Opening(Pool pool, HostConnection.Exchange exchange, Message message, double retriedUntil) {
+        PendingConnection(Pool pool, HostConnection.Exchange exchange, RequestFactory requestFactory, double retryUntil) {
             this.pool = pool;
             this.exchange = exchange;
-            this.message = message;
-            this.retriedUntil = retriedUntil;
+            this.requestFactory = requestFactory;
+            this.retryUntil = retryUntil;
         }
 
-        void begin() {
-            prepare();
+        void start() {
+            newConnection();
             connect();
         }
 
-        private void prepare() {
+        /** Assigns the exchange to a new connection object, since one that has failed cannot be reused. */
+        private void newConnection() {
             connection = new HostConnection(pool, node.clock);
-            connection.await(exchange);
-            pool.comingUp.add(connection);
+            connection.assign(exchange);
+            pool.connecting.add(connection);
         }
 
+        /** Connects; a full connection limit counts as a failure on this machine. */
         private void connect() {
-            if (!room()) {
-                failed(true);
+            if (!ensureCapacity()) {
+                onConnectFailed(true);
                 return;
             }
             connections++;
             HostConnection opened = connection;
-            ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
+            ChannelFuture connectFuture = bootstrap.clone().handler(new ChannelInitializer<>() {
                 @Override
                 protected void initChannel(Channel ch) {
                     opened.attach(ch);
                 }
             }).connect(node.transport.at(pool.address));
-            connecting.addListener(f -> onLoop(() -> { // without a channel netty tells it on a thread of its own
+            connectFuture.addListener(f -> onLoop(() -> { // without a channel, Netty notifies on another thread
                 if (f.isSuccess()) {
-                    up(connecting.channel());
+                    onConnected(connectFuture.channel());
                 } else {
                     connections--;
-                    failed(LocalFailure.is(f.cause()));
+                    onConnectFailed(LocalFailure.isLocal(f.cause()));
                 }
             }));
         }
 
-        private void up(Channel channel) {
-            pool.comingUp.remove(connection);
+        private void onConnected(Channel channel) {
+            pool.connecting.remove(connection);
             channel.closeFuture().addListener(closed -> connections--);
-            if (connection.awaits(exchange)) {
+            if (connection.carries(exchange)) {
                 exchange.connected();
             }
-            if (connection.awaits(exchange)) {
-                connection.write(exchange, message.build());
+            if (connection.carries(exchange)) {
+                connection.write(exchange, requestFactory.build());
             } else {
-                connection.close(); // nobody waits any more, and nothing may ever leave on it
+                connection.close(); // the exchange was abandoned; nothing may be sent on this connection
             }
         }
 
-        private void failed(boolean here) {
-            pool.comingUp.remove(connection);
-            if (!here) {
-                connection.lost();
-            } else if (node.clock.now() >= retriedUntil) {
-                connection.unsent();
-            } else if (connection.awaits(exchange)) {
-                connection.forget();
-                prepare();
-                node.loop.schedule(this::connectAgain, backoff.nextMs(), TimeUnit.MILLISECONDS);
+        /** @param local whether the connect failed on this machine, before the host was involved */
+        private void onConnectFailed(boolean local) {
+            pool.connecting.remove(connection);
+            if (!local) {
+                connection.fail();
+            } else if (node.clock.now() >= retryUntil) {
+                connection.failUnsent();
+            } else if (connection.carries(exchange)) {
+                connection.detach();
+                newConnection();
+                node.loop.schedule(this::retryConnect, backoff.nextMs(), TimeUnit.MILLISECONDS);
             }
         }
 
-        private void connectAgain() {
-            if (connection.awaits(exchange)) {
+        private void retryConnect() {
+            if (connection.carries(exchange)) {
                 connect();
             } else {
-                pool.comingUp.remove(connection);
+                pool.connecting.remove(connection);
             }
         }
     }
 
-    private void onLoop(Runnable what) {
+    private void onLoop(Runnable task) {
         if (node.loop.inEventLoop()) {
-            what.run();
+            task.run();
         } else {
-            node.loop.execute(what);
+            node.loop.execute(task);
         }
     }
 
     // ---- load reports
 
+    /** Returns the load figures in a response's header, in the order of the settings; empty if there are none. */
     double[] report(FullHttpResponse response) {
-        String text = response.headers().get(REPORT);
-        return text == null ? new double[0] : parse(text);
+        String text = response.headers().get(LOAD_REPORT_HEADER);
+        return text == null ? new double[0] : parseReport(text);
     }
 
-    /** The named values of {@code TEXT a=1, b=2}, in the order of the settings; empty where one is missing. */
-    private double[] parse(String text) {
+    /**
+     * Parses {@code TEXT a=1, b=2}. Returns the figures that the settings name, in their order; empty if one of them is
+     * missing or any value is not a finite number.
+     */
+    private double[] parseReport(String text) {
         List<String> names = node.config.settings().reportNames();
-        Map<String, Double> told = new HashMap<>();
+        Map<String, Double> values = new HashMap<>();
         for (String part : text.substring(text.indexOf(' ') + 1).split(",")) {
             int equals = part.indexOf('=');
             try {
@@ -422,11 +457,11 @@
                 if (!Double.isFinite(value)) {
                     return new double[0];
                 }
-                told.put(part.substring(0, Math.max(0, equals)).trim(), value);
+                values.put(part.substring(0, Math.max(0, equals)).trim(), value);
             } catch (NumberFormatException e) {
                 return new double[0];
             }
         }
-        return told.keySet().containsAll(names) ? names.stream().mapToDouble(told::get).toArray() : new double[0];
+        return values.keySet().containsAll(names) ? names.stream().mapToDouble(values::get).toArray() : new double[0];
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/HostConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostConnection.java
@@ -30,116 +30,131 @@
 import marlford.gateway.EngineApi.Outcome;
 
 /**
- * One connection to a host. It carries one exchange at a time, puts its answer together, and goes back to its pool
- * only when nothing stands on it beyond that answer: what a host sends unasked would be taken for the next answer.
+ * A connection to one host, used on the event loop only. It carries one exchange at a time, aggregates the response, and
+ * returns to its pool only if no bytes follow that response: unsolicited bytes would be read as the next response.
  */
 final class HostConnection extends ChannelInboundHandlerAdapter {
-    private static final String NEVER_RAN = "X-Never-Ran";
-    private static final long STALL_MS = 250; // an answer that has begun and gets no further for so long is no answer
-    private static final long LONG_STALL_MS = 5000; // the same for one that is passed on as it comes
-    private static final long UPLOAD_LOOK_MS = 250;
-    private static final long LONGEST = 48 << 20; // bytes of an answer; whatever claims or brings more is none
-    private static final int INTERIM_MAX = 16; // 1xx answers ahead of one
+    private static final String NEVER_RAN_HEADER = "X-Never-Ran";
+    private static final long RESPONSE_STALL_TIMEOUT_MS = 250; // a started response without further bytes for this long has failed
+    private static final long STREAM_STALL_TIMEOUT_MS = 5000; // the same for streamed bodies, in either direction
+    private static final long UPLOAD_CHECK_INTERVAL_MS = 250;
+    private static final long MAX_RESPONSE_BYTES = 48 << 20; // a response that declares or sends more is invalid
+    private static final int MAX_INTERIM_RESPONSES = 16; // 1xx responses ahead of the final one
 
-    /** Where a connection rests between exchanges. */
-    interface Home {
-        boolean closed();
+    /** Keeps idle connections between exchanges. */
+    interface Owner {
+        /** Returns whether connections are no longer kept; an idle one is then closed. */
+        boolean isClosed();
 
-        void resting(HostConnection c);
+        /** The connection may carry another exchange. */
+        void onIdle(HostConnection connection);
 
-        void gone(HostConnection c);
+        /** The connection has closed. */
+        void onClosed(HostConnection connection);
     }
 
-    private final Home home;
+    private final Owner owner;
     private final Clock clock;
     private final Decoder decoder = new Decoder();
     private Channel channel;
     private Exchange exchange;
-    private boolean written; // the request's last byte has left
-    private boolean begun; // of the answer, something has come
+    private boolean requestWritten; // the request's last byte was written to the socket
+    private boolean responseStarted; // some bytes of the response were read
     private HttpResponse head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
-    private RequestBodyStream upload; // the rest of the request, on its way; null where all of it was written
-    private long untaken; // bytes of it that had not left at the last look
-    private double takenAt; // when bytes of it were last seen to leave
-    private Sink sink; // takes the answer as it comes; null where it is put together here
-    private long passed; // bytes of it that went there
-    private double readAt; // when something last came, or reading went on
-    private int interim;
-    private boolean clean; // answered, and nothing has come since
-    private Future<?> stall;
+    private RequestBodyStream requestBody; // the unsent rest of the request's body; null if there is none
+    private long pendingUploadBytes; // bytes in the write buffer at the last check
+    private double uploadProgressAt; // when the write buffer was last seen to change or to be empty
+    private Sink sink; // receives a streamed response; null while the response is aggregated here
+    private long streamedBytes; // bytes passed to the sink
+    private double lastReadAt; // when bytes were last read, or reading was resumed
+    private int interimResponses;
+    private boolean reusable; // the response is complete and no bytes followed it
+    private Future<?> stallTimer;
     private double idleSince;
 
-    HostConnection(Home home, Clock clock) {
-        this.home = home;
+    HostConnection(Owner owner, Clock clock) {
+        this.owner = owner;
         this.clock = clock;
     }
 
-    /** Something asked of a host that ends exactly once; its owner ignores what comes after. */
+    /** A request to a host and its response. It ends exactly once; its owner ignores later events. */
     abstract static class Exchange {
         private HostConnection connection;
 
-        /** Its connection has come up and nothing of it was written yet; it may be given up in this call. */
+        /** Its connection is established and nothing of it was written yet. The callback may abandon the exchange. */
         void connected() { }
 
-        /** Its last byte has left for the host. */
+        /** The last byte of its request was written to the socket. */
         void written() { }
 
         /**
-         * Its answer is too long to be kept. Returns what takes it as it comes, or null where nobody does.
+         * Its response is too long to be aggregated. Returns the sink to stream it to, or null if it is not wanted.
          *
-         * @param more to be run when what takes it is ready again
+         * @param more to be run when the sink is ready again
          */
         Sink streams(HttpResponse head, Runnable more) {
             return null;
         }
 
-        /** How it ended; the response, where there is one, is only lent, and without a body where that was streamed. */
+        /**
+         * The exchange ended.
+         *
+         * @param response null if there is none; released after this call, and without a body if that was streamed
+         */
         abstract void ended(Outcome outcome, FullHttpResponse response);
 
-        final boolean under() {
+        /** Returns whether a connection is established or being established for it, and it has not ended. */
+        final boolean isPending() {
             return connection != null;
         }
 
-        /** Whether its last byte has left for the host. */
+        /** Returns whether the last byte of its request was written to the socket. */
         final boolean leftWhole() {
-            return connection != null && connection.written;
+            return connection != null && connection.requestWritten;
         }
 
-        /** Its time is up by the clock: what stands in its socket by now was not late, this loop was. It may end in this call. */
+        /**
+         * Reads bytes that are already in the socket. To be called when a timeout fires: a response that has arrived by
+         * then was not late, this event loop was. The exchange may end in this call.
+         */
         final void look() {
-            HostConnection c = connection;
-            if (c != null && c.channel != null && c.channel.isActive() && c.channel.config().isAutoRead()) {
-                Transport.readNow(c.channel);
+            HostConnection carrier = connection;
+            if (carrier != null && carrier.channel != null && carrier.channel.isActive() && carrier.channel.config().isAutoRead()) {
+                Transport.readNow(carrier.channel);
             }
         }
 
-        /** Stops waiting: its connection closes, so late bytes can never reach another request. */
+        /** Gives the exchange up. Its connection is closed, so that late bytes cannot reach another request. */
         final void abandon() {
-            HostConnection c = connection;
+            HostConnection carrier = connection;
             connection = null;
-            if (c != null) {
-                c.exchange = null;
-                c.leaveUpload();
-                c.breakOff();
-                c.close();
+            if (carrier != null) {
+                carrier.exchange = null;
+                carrier.detachRequestBody();
+                carrier.truncateSink();
+                carrier.close();
             }
         }
     }
 
-    /** Where a long answer goes. */
+    /** Receives the body of a streamed response. */
     interface Sink {
-        /** Takes the part over. */
+        /** Writes a part of the body and takes ownership of the buffer. */
         void part(ByteBuf part);
 
-        /** Whether another part may come now. */
+        /** Returns whether another part may be written now. */
         boolean ready();
 
-        /** No more comes: this was all, or the rest never will. */
+        /**
+         * No further part follows.
+         *
+         * @param whole whether the body is complete; false if the rest of it will never come
+         */
         void end(boolean whole);
     }
 
-    /** Reads answers; their lines may hold anything but what leaves their length open. */
+    /** Decodes responses. Their headers may hold anything except what makes the length of the response ambiguous. */
     private final class Decoder extends HttpResponseDecoder {
         Decoder() {
             super(new HttpDecoderConfig().setHeadersFactory(StrictHeaders.ofAnswers()));
@@ -147,108 +162,117 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-            if (exchange == null) { // nobody asked, or nobody waits any more: also half a message is one too many
+            if (exchange == null) { // unsolicited, or abandoned: even a part of a message makes the connection unusable
                 ReferenceCountUtil.release(bytes);
                 close();
                 return;
             }
-            begun = true;
-            readAt = clock.now();
+            responseStarted = true;
+            lastReadAt = clock.now();
             super.channelRead(ctx, bytes);
         }
 
-        /** The decoder takes a line with a blank and no colon for a name and no value; such a head is noise. */
+        /** Netty accepts a header line without a colon as a name without a value; such a head is rejected here. */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (line[start + length] != ':') {
-                throw new IllegalArgumentException("no colon behind a header's name");
+                throw new IllegalArgumentException("header line of a response has no colon after the name");
             }
             return super.splitHeaderName(line, start, length);
         }
 
-        boolean leftOver() {
+        /** Returns whether bytes remain that belong to no decoded message. */
+        boolean hasUnreadBytes() {
             return actualReadableBytes() > 0;
         }
     }
 
-    void attach(Channel ch) {
-        channel = ch;
-        ch.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
+    /** Installs this connection's handlers on its channel. */
+    void attach(Channel newChannel) {
+        channel = newChannel;
+        newChannel.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
     }
 
-    void await(Exchange x) {
-        exchange = x;
-        x.connection = this;
+    /** Assigns the exchange that this connection is to carry. */
+    void assign(Exchange target) {
+        exchange = target;
+        target.connection = this;
     }
 
-    boolean awaits(Exchange x) {
-        return exchange == x;
+    boolean carries(Exchange target) {
+        return exchange == target;
     }
 
+    /** Returns when the connection last became idle, in milliseconds of the clock. */
     double idleSince() {
         return idleSince;
     }
 
     /**
-     * Whether an idle connection may carry the next exchange. What stands unread in its socket is read first: a
-     * second copy of the last answer, or the host's end, may have come since the loop last looked.
+     * Returns whether an idle connection may carry the next exchange. Unread bytes in its socket are read first: a
+     * duplicate of the last response, or the end of the connection, may have arrived since the loop last polled it.
      */
-    boolean ready() {
+    boolean readAndCheckActive() {
         if (channel.isActive()) {
             Transport.readNow(channel);
         }
         return channel.isActive();
     }
 
-    void write(Exchange x, FullHttpRequest message) {
-        await(x);
-        written = begun = clean = false;
-        interim = 0;
+    /** Writes a request and takes ownership of the message. A streamed body follows as the socket accepts it. */
+    void write(Exchange target, FullHttpRequest message) {
+        assign(target);
+        requestWritten = responseStarted = reusable = false;
+        interimResponses = 0;
         if (message instanceof StreamedRequest) {
             channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(),
                     message.headers()), channel.voidPromise());
             channel.writeAndFlush(new DefaultHttpContent(message.content()), channel.voidPromise());
-            upload = ((StreamedRequest) message).rest;
-            takenAt = clock.now();
-            untaken = 0;
-            upload.to(taker);
-            watchUpload(x);
+            requestBody = ((StreamedRequest) message).rest;
+            uploadProgressAt = clock.now();
+            pendingUploadBytes = 0;
+            requestBody.to(bodyTarget);
+            watchUpload(target);
         } else {
-            channel.writeAndFlush(message).addListener(f -> lastLeft(x, f.isSuccess()));
+            channel.writeAndFlush(message).addListener(f -> onWriteCompleted(target, f.isSuccess()));
         }
     }
 
-    /** A host that takes nothing of a body for too long would hold its client up for as long as the body may take. */
-    private void watchUpload(Exchange x) {
+    /**
+     * Fails the exchange if the host accepts no bytes of a streamed body for {@value #STREAM_STALL_TIMEOUT_MS} ms. Otherwise such a
+     * host would hold up the client for as long as the whole body may take.
+     */
+    private void watchUpload(Exchange target) {
         channel.eventLoop().schedule(() -> {
-            if (exchange != x || written) {
+            if (exchange != target || requestWritten) {
                 return;
             }
             ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
-            long now = buffer == null ? 0 : buffer.totalPendingWriteBytes();
-            takenAt = now == 0 || now != untaken ? clock.now() : takenAt;
-            untaken = now;
-            if (clock.now() - takenAt > LONG_STALL_MS) {
-                lost();
+            long pendingBytes = buffer == null ? 0 : buffer.totalPendingWriteBytes();
+            uploadProgressAt = pendingBytes == 0 || pendingBytes != pendingUploadBytes ? clock.now() : uploadProgressAt;
+            pendingUploadBytes = pendingBytes;
+            if (clock.now() - uploadProgressAt > STREAM_STALL_TIMEOUT_MS) {
+                fail();
             } else {
-                watchUpload(x);
+                watchUpload(target);
             }
-        }, UPLOAD_LOOK_MS, TimeUnit.MILLISECONDS);
+        }, UPLOAD_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void lastLeft(Exchange x, boolean left) {
-        if (exchange != x) {
+    /** The write of the request's last byte has completed. */
+    private void onWriteCompleted(Exchange target, boolean success) {
+        if (exchange != target) {
             return;
         }
-        written = left;
-        if (written) {
-            x.written();
+        requestWritten = success;
+        if (requestWritten) {
+            target.written();
         } else {
-            breakWith(Outcome.CONNECT_FAILED);
+            closeThenEnd(Outcome.CONNECT_FAILED);
         }
     }
 
-    private final RequestBodyStream.Taker taker = new RequestBodyStream.Taker() {
+    private final RequestBodyStream.Taker bodyTarget = new RequestBodyStream.Taker() {
         @Override
         public boolean ready() {
             return channel.isWritable();
@@ -261,78 +285,78 @@
 
         @Override
         public void last() {
-            Exchange x = exchange;
-            upload = null;
-            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> lastLeft(x, f.isSuccess()));
+            Exchange target = exchange;
+            requestBody = null;
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> onWriteCompleted(target, f.isSuccess()));
         }
     };
 
-    /** The body that was on its way goes no further here. */
-    private void leaveUpload() {
-        RequestBodyStream left = upload;
-        upload = null;
-        if (left != null) {
-            left.leave(taker);
+    /** Stops sending a streamed body on this connection. */
+    private void detachRequestBody() {
+        RequestBodyStream detached = requestBody;
+        requestBody = null;
+        if (detached != null) {
+            detached.leave(bodyTarget);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (upload != null) {
-            upload.flow();
+        if (requestBody != null) {
+            requestBody.flow();
         }
     }
 
-    /** What was asked here ended without an answer. It may have run only once its last byte had left. */
-    void lost() {
-        breakWith(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+    /** Ends the exchange without a response. The host can have run the request only if its last byte was written. */
+    void fail() {
+        closeThenEnd(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED);
     }
 
-    /** No connection could be made, for reasons of this machine alone. */
-    void unsent() {
-        breakWith(Outcome.UNSENT);
+    /** Ends the exchange because this machine could not open a connection, for reasons unrelated to the host. */
+    void failUnsent() {
+        closeThenEnd(Outcome.UNSENT);
     }
 
-    /** What awaits it goes on with another connection. */
-    void forget() {
+    /** Drops the exchange without ending it; another connection carries it. */
+    void detach() {
         exchange = null;
     }
 
-    /** No answer will come of this, whatever else comes; the host has run the request all the same. */
-    private void spoilt() {
-        breakWith(Outcome.SPOILT);
+    /** Ends the exchange because its response is invalid. The host has run the request all the same. */
+    private void failInvalidResponse() {
+        closeThenEnd(Outcome.SPOILT);
     }
 
     /**
-     * Ends the connection, and only then tells what was asked on it. Another attempt may leave in the very call that
-     * tells the end of this one; while the connection is still open, the two would be out together (rule 2).
+     * Closes the connection and only then ends its exchange. The callback may send another attempt at once; if this
+     * connection were still open, two attempts of the request would be in flight together (rule 2).
      */
-    private void breakWith(Outcome outcome) {
-        Exchange x = exchange;
-        exchange = null; // the failure of what is still to be written speaks to nobody
+    private void closeThenEnd(Outcome outcome) {
+        Exchange target = exchange;
+        exchange = null; // the close fails pending writes, which must not end the exchange
         close();
-        exchange = x;
+        exchange = target;
         end(outcome, null);
     }
 
-    /** What was passed on so far is all that will come. */
-    private void breakOff() {
-        Sink s = sink;
+    /** Ends a streamed response before it is complete. */
+    private void truncateSink() {
+        Sink truncated = sink;
         sink = null;
-        if (s != null) {
-            s.end(false);
+        if (truncated != null) {
+            truncated.end(false);
         }
     }
 
     private void end(Outcome outcome, FullHttpResponse response) {
-        leaveUpload(); // ahead of the outcome, on which another host may be asked
-        Exchange x = exchange;
+        detachRequestBody(); // before the outcome is reported: the callback may send the request to another host
+        Exchange target = exchange;
         exchange = null;
-        if (x != null) {
-            x.connection = null;
-            x.ended(outcome, response);
+        if (target != null) {
+            target.connection = null;
+            target.ended(outcome, response);
         }
-        breakOff(); // a long answer that came whole has ended before
+        truncateSink(); // a complete streamed response has already ended its sink
     }
 
     void close() {
@@ -347,13 +371,13 @@
             if (exchange == null) {
                 close();
             } else if (((HttpObject) message).decoderResult().isFailure()) {
-                spoilt();
+                failInvalidResponse();
             } else {
                 if (message instanceof HttpResponse) {
-                    begin((HttpResponse) message);
+                    onResponseHead((HttpResponse) message);
                 }
                 if (message instanceof HttpContent && exchange != null) {
-                    goOn(ctx, (HttpContent) message);
+                    onContent(ctx, (HttpContent) message);
                 }
             }
         } finally {
@@ -361,37 +385,38 @@
         }
     }
 
-    private void begin(HttpResponse response) {
+    private void onResponseHead(HttpResponse response) {
         head = response;
-        boolean ahead = isInterim();
+        boolean interimHead = isInterim();
         boolean empty = response.status().equals(HttpResponseStatus.NO_CONTENT)
                 || response.status().equals(HttpResponseStatus.NOT_MODIFIED);
         boolean chunked = HttpUtil.isTransferEncodingChunked(response);
         long length = HttpUtil.getContentLength(response, -1L);
-        // An answer that the end of the connection bounds can't be told from a broken one.
-        boolean bounded = ahead || empty || chunked || length >= 0;
-        if (!bounded || length > LONGEST || ahead && ++interim > INTERIM_MAX
+        // A response that ends with its connection cannot be distinguished from a truncated one.
+        boolean bounded = interimHead || empty || chunked || length >= 0;
+        if (!bounded || length > MAX_RESPONSE_BYTES || interimHead && ++interimResponses > MAX_INTERIM_RESPONSES
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-            spoilt();
+            failInvalidResponse();
         } else if (length > ClientServer.MAX_BODY) {
-            stream();
+            startStreaming();
         }
     }
 
-    /** Only a good answer is worth its length; of any other it is enough to know what it is. */
-    private void stream() {
+    /** Starts to stream a response. Only a 200 is streamed; of any other status, a long body is invalid. */
+    private void startStreaming() {
         if (head.status().equals(HttpResponseStatus.OK)) {
-            passed = 0;
-            sink = exchange.streams(head, this::goOnReading);
+            streamedBytes = 0;
+            sink = exchange.streams(head, this::resumeReading);
         }
         if (sink == null) {
-            spoilt();
+            failInvalidResponse();
         }
     }
 
-    private void goOnReading() {
+    /** Resumes reading once the sink can take more. */
+    private void resumeReading() {
         if (sink != null && sink.ready() && !channel.config().isAutoRead()) {
-            readAt = clock.now();
+            lastReadAt = clock.now();
             channel.config().setAutoRead(true);
         }
     }
@@ -400,16 +425,16 @@
         return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     }
 
-    private void goOn(ChannelHandlerContext ctx, HttpContent content) {
+    private void onContent(ChannelHandlerContext ctx, HttpContent content) {
         if (sink == null && body.readableBytes() + content.content().readableBytes() > ClientServer.MAX_BODY) {
-            stream();
+            startStreaming();
             if (sink == null) {
                 return;
             }
         }
         body = RequestReader.joined(ctx, body, content.content());
         if (sink != null) {
-            passOn();
+            passToSink();
             if (sink == null) {
                 return;
             }
@@ -418,37 +443,37 @@
             return;
         }
         if (isInterim()) {
-            begun = decoder.leftOver();
+            responseStarted = decoder.hasUnreadBytes();
         } else {
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), body,
+            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), body,
                     head.headers(), EmptyHttpHeaders.INSTANCE);
-            Sink whole = sink;
+            Sink complete = sink;
             sink = null;
-            if (whole != null) {
-                whole.end(true);
+            if (complete != null) {
+                complete.end(true);
             }
-            clean = written && HttpUtil.isKeepAlive(head) && !decoder.leftOver();
+            reusable = requestWritten && HttpUtil.isKeepAlive(head) && !decoder.hasUnreadBytes();
             body = Unpooled.EMPTY_BUFFER;
             try {
-                end(outcome(answer), answer);
+                end(outcomeOf(response), response);
             } finally {
-                answer.release();
+                response.release();
             }
-            if (!clean) {
+            if (!reusable) {
                 close();
             }
         }
         head = null;
     }
 
-    /** Hands on what has come; where that is more than the client takes for now, nothing further is read. */
-    private void passOn() {
+    /** Passes the body read so far to the sink, and pauses reading while the client does not accept more. */
+    private void passToSink() {
         ByteBuf part = body;
         body = Unpooled.EMPTY_BUFFER;
-        passed += part.readableBytes();
-        if (passed > LONGEST) {
+        streamedBytes += part.readableBytes();
+        if (streamedBytes > MAX_RESPONSE_BYTES) {
             part.release();
-            spoilt();
+            failInvalidResponse();
         } else if (part.isReadable()) {
             sink.part(part);
             if (sink != null && !sink.ready()) {
@@ -457,75 +482,79 @@
         }
     }
 
-    /** Only now has all been read that came with the answer; before, what is right behind it was not seen. */
+    /**
+     * Returns the connection to its pool if it is reusable. This cannot be decided earlier: only now have all bytes been
+     * read that arrived with the response, including those right behind it.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (exchange != null) {
-            watch();
+            watchForStall();
             return;
         }
-        if (stall != null) {
-            stall.cancel(false);
-            stall = null;
+        if (stallTimer != null) {
+            stallTimer.cancel(false);
+            stallTimer = null;
         }
         if (!channel.config().isAutoRead()) {
-            channel.config().setAutoRead(true); // the answer's end came while its client took no more
+            channel.config().setAutoRead(true); // the response ended while reading was paused for its client
         }
-        if (clean && channel.isActive() && !home.closed()) {
-            clean = false; // once only: what comes from now on closes it
+        if (reusable && channel.isActive() && !owner.isClosed()) {
+            reusable = false; // pooled once only: bytes that arrive from now on close the connection
             idleSince = clock.now();
-            home.resting(this);
-        } else if (home.closed()) {
+            owner.onIdle(this);
+        } else if (owner.isClosed()) {
             close();
         }
     }
 
-    /** A host that stops inside its answer keeps the connection open, so nothing else would ever tell. */
-    private void watch() {
-        if (!begun || stall != null) {
+    /** Detects a host that stops within its response and keeps the connection open, which nothing else would reveal. */
+    private void watchForStall() {
+        if (!responseStarted || stallTimer != null) {
             return;
         }
-        Exchange x = exchange;
-        boolean paused = !channel.config().isAutoRead(); // then it is not the host that does not get on
-        double left = readAt + (sink == null ? STALL_MS : LONG_STALL_MS) - clock.now();
-        if (left <= 0 && !paused) {
-            spoilt();
+        Exchange target = exchange;
+        boolean paused = !channel.config().isAutoRead(); // the client is slow then, not the host
+        double remainingMs = lastReadAt + (sink == null ? RESPONSE_STALL_TIMEOUT_MS : STREAM_STALL_TIMEOUT_MS) - clock.now();
+        if (remainingMs <= 0 && !paused) {
+            failInvalidResponse();
             return;
         }
-        stall = channel.eventLoop().schedule(() -> {
-            stall = null;
-            if (exchange == x) {
-                x.look(); // it watches by itself where something came
+        stallTimer = channel.eventLoop().schedule(() -> {
+            stallTimer = null;
+            if (exchange == target) {
+                target.look(); // reading arms the timer again if bytes were available
             }
-            if (exchange == x) {
-                watch();
+            if (exchange == target) {
+                watchForStall();
             }
-        }, paused ? LONG_STALL_MS : (long) left + 1, TimeUnit.MILLISECONDS);
+        }, paused ? STREAM_STALL_TIMEOUT_MS : (long) remainingMs + 1, TimeUnit.MILLISECONDS);
     }
 
-    private static Outcome outcome(FullHttpResponse response) {
+    /** A 503 or 504 that the host marks as never run is FULL; any other status but 200 is an error. */
+    private static Outcome outcomeOf(FullHttpResponse response) {
         int code = response.status().code();
         if (code == HttpResponseStatus.OK.code()) {
             return Outcome.OK;
         }
-        boolean turnedAway = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
+        boolean rejected = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 || code == HttpResponseStatus.GATEWAY_TIMEOUT.code();
-        return turnedAway && "1".equals(response.headers().get(NEVER_RAN)) ? Outcome.FULL : Outcome.ERROR;
+        return rejected && "1".equals(response.headers().get(NEVER_RAN_HEADER)) ? Outcome.FULL : Outcome.ERROR;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        home.gone(this);
-        if (stall != null) {
-            stall.cancel(false);
+        owner.onClosed(this);
+        if (stallTimer != null) {
+            stallTimer.cancel(false);
         }
-        lost();
+        fail();
         body.release();
         body = Unpooled.EMPTY_BUFFER;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        lost();
+        fail();
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/HostEntryReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostEntryReader.java
@@ -8,11 +8,11 @@
 import marlford.gateway.EngineApi.Host;
 import marlford.gateway.EngineApi.HostState;
 
-/** The fields of one entry of a list of hosts, and the host that they make. One after another; not thread-safe. */
+/** Collects the fields of an entry of a list of hosts and builds its host. Reused for one entry after another; not thread-safe. */
 final class HostEntryReader {
-    private static final int SHARED_MAX = 256; // names that many hosts have in common, as those of zones
+    private static final int MAX_SHARED_NAMES = 256; // distinct names of zones and kinds that are shared among hosts
 
-    private final Map<String, String> shared = new HashMap<>();
+    private final Map<String, String> sharedNames = new HashMap<>();
     private String id;
     private String address;
     private String zone;
@@ -23,11 +23,11 @@
     private double startedMs;
 
     HostEntryReader() {
-        clear();
+        reset();
     }
 
-    /** The next entry begins. */
-    void clear() {
+    /** Resets all fields to their defaults, ahead of the next entry. */
+    void reset() {
         id = "";
         address = "";
         zone = "";
@@ -38,13 +38,17 @@
         startedMs = 0;
     }
 
-    /** A field, whose value is the parser's current token and no structure; one that is not known is ignored. */
+    /**
+     * Sets a field. Unknown fields are ignored.
+     *
+     * @param value its current token is the field's value, and not an object or array
+     */
     void set(String field, JsonParser value) throws IOException {
         switch (field) {
             case "id" -> id = value.getText();
             case "addr" -> address = value.getText();
-            case "zone" -> zone = share(value.getText());
-            case "kind" -> kind = share(value.getText());
+            case "zone" -> zone = shareName(value.getText());
+            case "kind" -> kind = shareName(value.getText());
             case "state" -> state = value.getText();
             case "cell" -> cell = value.getValueAsInt(0);
             case "weight" -> weight = value.getValueAsDouble(1);
@@ -53,53 +57,57 @@
         }
     }
 
-    /** All fields of an entry that was read as a tree. */
+    /** Sets all fields from an entry that was read as a tree. */
     void set(JsonNode entry) {
         id = entry.path("id").asText();
         address = entry.path("addr").asText();
-        zone = share(entry.path("zone").asText());
-        kind = share(entry.path("kind").asText());
+        zone = shareName(entry.path("zone").asText());
+        kind = shareName(entry.path("kind").asText());
         state = entry.path("state").asText();
         cell = entry.path("cell").asInt();
         weight = entry.path("weight").asDouble(1);
         startedMs = entry.path("started_ms").asDouble();
     }
 
-    /** One string for all hosts of a zone or kind. */
-    private String share(String text) {
-        if (shared.size() >= SHARED_MAX) {
-            return shared.getOrDefault(text, text);
+    /** Returns one string instance for all hosts of a zone or kind, to save memory. */
+    private String shareName(String text) {
+        if (sharedNames.size() >= MAX_SHARED_NAMES) {
+            return sharedNames.getOrDefault(text, text);
         }
-        return shared.computeIfAbsent(text, same -> same);
+        return sharedNames.computeIfAbsent(text, same -> same);
     }
 
     String id() {
         return id;
     }
 
-    /** The host that the fields make; an {@link IllegalArgumentException} says what is wrong with them. */
-    Discovery.Entry entry() {
+    /**
+     * Returns the host that the fields describe.
+     *
+     * @throws IllegalArgumentException if the id is missing, the state is unknown or the address cannot be read
+     */
+    Discovery.Entry toEntry() {
         if (id.isEmpty()) {
-            throw new IllegalArgumentException("no id");
+            throw new IllegalArgumentException("the field 'id' is missing or empty");
         }
-        HostState read = switch (state) {
+        HostState hostState = switch (state) {
             case "ready" -> HostState.RUNNING;
             case "draining" -> HostState.DRAINING;
             case "gone" -> HostState.GONE;
-            default -> throw new IllegalArgumentException("unknown host state '" + state + "'");
+            default -> throw new IllegalArgumentException("unknown host state '" + state + "', expected ready, draining or gone");
         };
-        return new Discovery.Entry(host(read), read == HostState.GONE ? null : NodeConfig.address(address));
+        return new Discovery.Entry(host(hostState), hostState == HostState.GONE ? null : NodeConfig.address(address));
     }
 
     /**
-     * What is left of an entry that can't be read: its host must not get more work on the strength of what was told
-     * before, so it drains. Null where it has no name.
+     * Returns the host of an invalid entry as draining, since it must not get new requests because of an earlier list.
+     * Null if the entry has no id.
      */
-    Discovery.Entry drained() {
+    Discovery.Entry toDrainingEntry() {
         return id.isEmpty() ? null : new Discovery.Entry(host(HostState.DRAINING), null);
     }
 
-    private Host host(HostState as) {
-        return new Host(id, zone, kind, cell, as, weight, startedMs);
+    private Host host(HostState hostState) {
+        return new Host(id, zone, kind, cell, hostState, weight, startedMs);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/HostListAnswer.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListAnswer.java
@@ -4,9 +4,10 @@
 import marlford.gateway.list.HostList;
 
 /**
- * An answer of discovery: its whole list of hosts, or what changed.
+ * A response of a discovery agent: the whole list of hosts, or the changes since an earlier version.
  *
- * @param version {@link HostList#NONE} where it names none
+ * @param version of the list; {@link HostList#NONE} if the response has none
  * @param full whether it is the whole list
+ * @param entries the hosts that it names, in their order
  */
 record HostListAnswer(long version, boolean full, List<Discovery.Entry> entries) { }
--- a/gateway/src/main/java/marlford/gateway/net/HostListHandler.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListHandler.java
@@ -14,43 +14,47 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Makes {@link Answer}s of the parts of discovery's answers, and reads lists as they come: no body is held. Each part that
- * is not the last is told on as {@link Progress}. It releases every part that it is given.
+ * Assembles the HTTP responses of a discovery agent into {@link Response}s. The list is parsed as its parts arrive, so no body
+ * is buffered. Each part but the last fires {@link Progress} as a user event. Every inbound message is released here.
  */
 final class HostListHandler extends SimpleChannelInboundHandler<HttpObject> {
-    /** An answer is coming in. */
+    /** Event: a part of a response has arrived. */
     enum Progress { PART }
 
     /**
-     * A whole answer.
+     * A complete response.
      *
-     * @param list null where the status is not 200
-     * @param text of the list; null where nobody asked for it or it is longer than that
+     * @param list null if the status is not 200
+     * @param text of the list; null if it was not to be kept or exceeds the limit
      */
-    record Answer(HttpResponseStatus status, boolean keepAlive, HostListAnswer list, String text) { }
+    record Response(HttpResponseStatus status, boolean keepAlive, HostListAnswer list, String text) { }
 
     private final int maxHosts;
-    private int textMax;
+    private int maxTextBytes;
     private HttpResponse head;
-    private HostListParser parser; // null for an answer without a list
-    private ByteArrayOutputStream text; // null where it is not kept
+    private HostListParser parser; // null if the response is not a list
+    private ByteArrayOutputStream text; // null if it is not kept
 
-    /** @param maxHosts that a list may name */
+    /** @param maxHosts how many hosts a list may name */
     HostListHandler(int maxHosts) {
         this.maxHosts = maxHosts;
     }
 
-    /** Keeps the text of the next lists, too, as far as each is no longer than that; 0 for none. */
-    void keepText(int bytes) {
-        textMax = bytes;
+    /**
+     * Keeps the text of the next lists as well.
+     *
+     * @param maxBytes a longer text is not kept; 0 to keep none
+     */
+    void keepText(int maxBytes) {
+        maxTextBytes = maxBytes;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) throws IOException {
         if (part.decoderResult().isFailure()) {
-            throw new IOException("an answer that is not HTTP", part.decoderResult().cause());
+            throw new IOException("discovery sent a response that is not valid HTTP", part.decoderResult().cause());
         }
-        boolean read = false;
+        boolean valid = false;
         try {
             if (part instanceof HttpResponse response) {
                 begin(response);
@@ -58,10 +62,10 @@
             if (part instanceof HttpContent content && head != null) {
                 read(ctx, content);
             }
-            read = true;
+            valid = true;
         } finally {
-            if (!read) {
-                forget(); // the rest of an answer that can't be read is passed over
+            if (!valid) {
+                reset(); // the rest of an invalid response is skipped
             }
         }
     }
@@ -70,7 +74,7 @@
         head = response;
         boolean list = response.status().equals(HttpResponseStatus.OK);
         parser = list ? new HostListParser(maxHosts) : null;
-        text = list && textMax > 0 ? new ByteArrayOutputStream() : null;
+        text = list && maxTextBytes > 0 ? new ByteArrayOutputStream() : null;
     }
 
     private void read(ChannelHandlerContext ctx, HttpContent part) throws IOException {
@@ -86,7 +90,7 @@
 
     private void read(ByteBuf part) throws IOException {
         parser.feed(part);
-        if (text != null && text.size() + part.readableBytes() > textMax) {
+        if (text != null && text.size() + part.readableBytes() > maxTextBytes) {
             text = null;
         } else if (text != null) {
             part.getBytes(part.readerIndex(), text, part.readableBytes());
@@ -95,13 +99,13 @@
 
     private void end(ChannelHandlerContext ctx) throws IOException {
         HostListAnswer list = parser == null ? null : parser.end();
-        Answer answer = new Answer(head.status(), HttpUtil.isKeepAlive(head), list,
+        Response response = new Response(head.status(), HttpUtil.isKeepAlive(head), list,
                 text == null ? null : text.toString(StandardCharsets.UTF_8));
-        forget();
-        ctx.fireChannelRead(answer);
+        reset();
+        ctx.fireChannelRead(response);
     }
 
-    private void forget() {
+    private void reset() {
         head = null;
         parser = null;
         text = null;
--- a/gateway/src/main/java/marlford/gateway/net/HostListParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListParser.java
@@ -13,104 +13,104 @@
 import marlford.gateway.list.HostList;
 
 /**
- * Reads one answer of discovery from its bytes as they come, whatever the pieces. Neither the text nor a tree of it is
- * held: a list takes the memory of its entries, and their number is bounded. Fields that are not known are passed over.
- * Not thread-safe.
+ * Parses one response of a discovery agent incrementally, from parts of any size. Neither the text nor a tree of it is kept:
+ * a list takes only the memory of its entries, and their number is bounded. Unknown fields are skipped. Not thread-safe.
  */
 final class HostListParser {
-    private static final int STRING_MAX = 64 * 1024; // characters of one value
+    private static final int MAX_STRING_CHARS = 64 * 1024; // characters of one value
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(STRING_MAX).build()).build();
-    private static final int FAULTS_LOGGED = 5; // entries that can't be read, each with a line of its own
+            .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(MAX_STRING_CHARS).build()).build();
+    private static final int MAX_INVALID_ENTRIES_LOGGED = 5; // invalid entries that are logged one by one; the others are only counted
 
-    private enum Place { BEGIN, LIST, SERVERS, ENTRY, END }
+    /** Where in the document the parser is. */
+    private enum Position { START, LIST, SERVERS, ENTRY, END }
 
     private final int maxHosts;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private final HostEntryReader entry = new HostEntryReader();
     private final List<Discovery.Entry> entries = new ArrayList<>();
-    private Place place = Place.BEGIN;
-    private int passedOver; // depth of a value that is not known
+    private Position position = Position.START;
+    private int skippedDepth; // nesting depth within an unknown value; 0 outside of one
     private String field = "";
     private long version = HostList.NONE;
     private boolean full;
-    private int faults;
+    private int invalidEntries;
 
-    /** @param maxHosts that the answer may name; a further one is a {@link ListTooLongException} */
+    /** @param maxHosts how many hosts the list may name; one more is a {@link ListTooLongException} */
     HostListParser(int maxHosts) throws IOException {
         this.maxHosts = maxHosts;
         this.parser = FACTORY.createNonBlockingByteArrayParser();
         this.feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Reads the next bytes; the buffer stays the caller's. What follows the answer's end is ignored. */
+    /** Parses the next bytes; the caller keeps ownership of the buffer. Bytes behind the end of the document are ignored. */
     void feed(ByteBuf part) throws IOException {
         byte[] bytes = new byte[part.readableBytes()];
         part.getBytes(part.readerIndex(), bytes);
         feed(bytes);
     }
 
-    /** The same, of an array that the caller leaves alone until this returns. */
+    /** Parses the next bytes. The array is not used after this call. */
     void feed(byte[] bytes) throws IOException {
-        if (place == Place.END || bytes.length == 0) {
+        if (position == Position.END || bytes.length == 0) {
             return;
         }
         try {
             feeder.feedInput(bytes, 0, bytes.length);
             for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-                token(t);
-                if (place == Place.END) {
+                onToken(t);
+                if (position == Position.END) {
                     return;
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new UnreadableListException("the list can't be read: " + e.getOriginalMessage(), e);
+            throw new UnreadableListException("the list of hosts is not valid JSON: " + e.getOriginalMessage(), e);
         }
     }
 
-    /** The answer, once all of its bytes were fed. */
+    /** Returns the result, once all bytes were fed. */
     HostListAnswer end() throws IOException {
-        if (place != Place.END) {
-            throw new UnreadableListException("the list ends inside its text");
+        if (position != Position.END) {
+            throw new UnreadableListException("the list of hosts is truncated");
         }
-        if (faults > FAULTS_LOGGED) {
-            Node.log("discovery: " + (faults - FAULTS_LOGGED) + " further entries can't be read");
+        if (invalidEntries > MAX_INVALID_ENTRIES_LOGGED) {
+            Node.log("discovery: " + (invalidEntries - MAX_INVALID_ENTRIES_LOGGED) + " further entries in the list of hosts are invalid");
         }
         return new HostListAnswer(version, full, entries);
     }
 
-    private void token(JsonToken token) throws IOException {
-        if (passedOver > 0) {
-            passedOver += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
+    private void onToken(JsonToken token) throws IOException {
+        if (skippedDepth > 0) {
+            skippedDepth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             return;
         }
-        switch (place) {
-            case BEGIN -> begin(token);
-            case LIST -> inList(token);
-            case SERVERS -> inServers(token);
-            case ENTRY -> inEntry(token);
-            default -> throw new IllegalStateException("beyond the end");
+        switch (position) {
+            case START -> onStart(token);
+            case LIST -> onListToken(token);
+            case SERVERS -> onServersToken(token);
+            case ENTRY -> onEntryToken(token);
+            default -> throw new IllegalStateException("token after the end of the document");
         }
     }
 
-    private void begin(JsonToken token) throws IOException {
+    private void onStart(JsonToken token) throws IOException {
         if (token != JsonToken.START_OBJECT) {
-            throw new UnreadableListException("the list is no JSON object");
+            throw new UnreadableListException("the list of hosts is not a JSON object");
         }
-        place = Place.LIST;
+        position = Position.LIST;
     }
 
-    private void inList(JsonToken token) throws IOException {
+    private void onListToken(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
             field = parser.currentName();
         } else if (token == JsonToken.END_OBJECT) {
-            place = Place.END;
+            position = Position.END;
         } else if (token == JsonToken.START_ARRAY && field.equals(Discovery.LIST)) {
-            place = Place.SERVERS;
+            position = Position.SERVERS;
             entries.clear();
         } else if (token.isStructStart()) {
-            passedOver = 1;
+            skippedDepth = 1;
         } else if (field.equals("version")) {
             version = parser.getValueAsLong(HostList.NONE);
         } else if (field.equals("full")) {
@@ -118,38 +118,38 @@
         }
     }
 
-    private void inServers(JsonToken token) throws IOException {
+    private void onServersToken(JsonToken token) throws IOException {
         if (token == JsonToken.END_ARRAY) {
-            place = Place.LIST;
+            position = Position.LIST;
         } else if (token == JsonToken.START_OBJECT) {
-            entry.clear();
-            place = Place.ENTRY;
+            entry.reset();
+            position = Position.ENTRY;
         } else {
-            passedOver = token.isStructStart() ? 1 : 0;
-            fault("", "not an object");
+            skippedDepth = token.isStructStart() ? 1 : 0;
+            onInvalidEntry("", "expected a JSON object");
         }
     }
 
-    private void inEntry(JsonToken token) throws IOException {
+    private void onEntryToken(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
             field = parser.currentName();
         } else if (token == JsonToken.END_OBJECT) {
-            place = Place.SERVERS;
-            add();
+            position = Position.SERVERS;
+            addEntry();
         } else if (token.isStructStart()) {
-            passedOver = 1;
+            skippedDepth = 1;
         } else if (token != JsonToken.VALUE_NULL) {
             entry.set(field, parser);
         }
     }
 
-    private void add() throws ListTooLongException {
+    private void addEntry() throws ListTooLongException {
         Discovery.Entry read;
         try {
-            read = entry.entry();
-        } catch (IllegalArgumentException bad) {
-            fault(entry.id(), bad.getMessage());
-            read = entry.drained();
+            read = entry.toEntry();
+        } catch (IllegalArgumentException invalid) {
+            onInvalidEntry(entry.id(), invalid.getMessage());
+            read = entry.toDrainingEntry(); // null without an id
         }
         if (read == null) {
             return;
@@ -160,9 +160,9 @@
         entries.add(read);
     }
 
-    private void fault(String id, String what) {
-        if (++faults <= FAULTS_LOGGED) {
-            Node.log("discovery: entry '" + id + "': " + what);
+    private void onInvalidEntry(String id, String reason) {
+        if (++invalidEntries <= MAX_INVALID_ENTRIES_LOGGED) {
+            Node.log("discovery: invalid entry '" + id + "' in the list of hosts: " + reason);
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/HostStateTracker.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostStateTracker.java
@@ -9,45 +9,47 @@
 import marlford.gateway.EngineApi.HostState;
 import marlford.gateway.EngineApi.ListKind;
 
-/** What was last told of each host, and when its state last changed. On the event loop. */
+/** The last reported state of each host, and when that state last changed. Used on the event loop only. */
 final class HostStateTracker {
     private final Clock clock;
-    private final Map<String, Told> hosts = new HashMap<>();
+    private final Map<String, TrackedHost> hosts = new HashMap<>();
 
-    private record Told(Host host, double sinceMs) { }
+    private record TrackedHost(Host host, double sinceMs) { }
 
     HostStateTracker(Clock clock) {
         this.clock = clock;
     }
 
+    /** Takes over a list of hosts, or changes to it. */
     void told(ListKind kind, List<Host> list) {
         double now = clock.now();
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Host host : list) {
-            named.add(host.id());
-            Told before = hosts.get(host.id());
-            boolean same = before != null && before.host().state() == host.state();
-            hosts.put(host.id(), new Told(host, same ? before.sinceMs() : now));
+            listedIds.add(host.id());
+            TrackedHost previous = hosts.get(host.id());
+            boolean same = previous != null && previous.host().state() == host.state();
+            hosts.put(host.id(), new TrackedHost(host, same ? previous.sinceMs() : now));
         }
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            hosts.keySet().retainAll(named); // what is not named has no address either
+            hosts.keySet().retainAll(listedIds); // a host that is not listed has no address either
         }
     }
 
-    /** Null where no list names it. */
+    /** Returns the host as it was last listed; null if it is not on the list. */
     Host host(String id) {
-        Told told = hosts.get(id);
-        return told == null ? null : told.host();
+        TrackedHost tracked = hosts.get(id);
+        return tracked == null ? null : tracked.host();
     }
 
+    /** Returns the host's state; {@code GONE} if it is not on the list. */
     HostState state(String id) {
-        Told told = hosts.get(id);
-        return told == null ? HostState.GONE : told.host().state();
+        TrackedHost tracked = hosts.get(id);
+        return tracked == null ? HostState.GONE : tracked.host().state();
     }
 
-    /** Since when it is in this state; long ago where no list names it. */
+    /** Returns since when the host has been in its state; 0 if it is not on the list. */
     double sinceMs(String id) {
-        Told told = hosts.get(id);
-        return told == null ? 0 : told.sinceMs();
+        TrackedHost tracked = hosts.get(id);
+        return tracked == null ? 0 : tracked.sinceMs();
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/LocalFailure.java
+++ b/gateway/src/main/java/marlford/gateway/net/LocalFailure.java
@@ -7,28 +7,29 @@
 import java.net.SocketException;
 
 /**
- * Tells failures of this machine to make a connection (no descriptor, buffer, memory or local address) from those that say something
- * of the other end or of the way to it.
+ * Distinguishes connect failures on this machine (no descriptor, buffer, memory or local address left) from those that are
+ * evidence about the remote host or the network path to it.
  */
 final class LocalFailure {
-    private static final String NO_WAY = "unreachable"; // ENETUNREACH has no exception of its own
+    private static final String NETWORK_UNREACHABLE = "unreachable"; // ENETUNREACH has no exception of its own
 
     private LocalFailure() { }
 
-    /** Whether a connection failed here, ahead of anything that the other end could have done. */
-    static boolean is(Throwable cause) {
+    /** Returns whether a connect failed on this machine, before the remote host was involved. */
+    static boolean isLocal(Throwable cause) {
         return cause instanceof BindException || isWantOfResources(cause);
     }
 
-    /** Whether it, or what caused it, is a want of descriptors, buffers or memory. */
+    /** Returns whether a failure or one of its causes is a lack of descriptors, buffers or memory. */
     static boolean isWantOfResources(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
-            if (cause instanceof ChannelException) { // no socket
+            if (cause instanceof ChannelException) { // Netty could not create the socket
                 return true;
             }
-            boolean told = cause instanceof BindException || cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-            if (cause instanceof SocketException && !told) {
-                return !String.valueOf(cause.getMessage()).contains(NO_WAY);
+            boolean specific = cause instanceof BindException || cause instanceof ConnectException
+                    || cause instanceof NoRouteToHostException;
+            if (cause instanceof SocketException && !specific) {
+                return !String.valueOf(cause.getMessage()).contains(NETWORK_UNREACHABLE);
             }
         }
         return false;
--- a/gateway/src/main/java/marlford/gateway/net/PeerLink.java
+++ b/gateway/src/main/java/marlford/gateway/net/PeerLink.java
@@ -16,27 +16,31 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Messages between api gateways: datagrams, which may come late, damaged, from strangers or not at all. */
-@ChannelHandler.Sharable // of one channel after another
+/**
+ * Exchanges messages with other gateways as UDP datagrams, which may arrive late, damaged, from unknown senders or not at all.
+ * Runs on the event loop, unless a method says otherwise.
+ */
+@ChannelHandler.Sharable // reused for one channel after another
 final class PeerLink extends SimpleChannelInboundHandler<DatagramPacket> implements Node.Mail {
-    private static final int MAX_BYTES = 256;
-    private static final int EVERYONE = -1;
-    private static final long AGAIN_MS = 100; // after an address could not be had
+    private static final int MAX_MESSAGE_BYTES = 256;
+    private static final int ALL_PEERS = -1;
+    private static final long BIND_RETRY_DELAY_MS = 100;
 
     private final Node node;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    private volatile boolean heard; // read by the threads of a start and an end, which wait for no event loop
+    private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
+    private volatile boolean messageReceived; // also read by the threads of start and shutdown, which do not wait for the event loop
     private boolean stopped;
-    private double aloneSince = Double.POSITIVE_INFINITY;
+    private double addressHeldSince = Double.POSITIVE_INFINITY;
     private Channel channel;
 
     PeerLink(Node node) {
         this.node = node;
         for (int i = 0; i < node.config.peers().size(); i++) {
-            numbers.put(node.config.peers().get(i), i);
+            peerNumbers.put(node.config.peers().get(i), i);
         }
     }
 
+    /** Binds the peer address, if one is configured. A failed bind is logged once and retried until {@link #stop}. */
     void start() {
         if (node.config.peerListen() == null) {
             return;
@@ -46,29 +50,30 @@
     }
 
     private void bind(boolean first) {
-        // One byte more than a message may have shows which ones are too long.
+        // The receive buffer is one byte larger than a message may be, so that longer ones are recognized.
         channel = new Bootstrap().group(node.loop).channel(NioDatagramChannel.class).handler(this)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_BYTES + 1))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1))
                 .bind(node.config.peerListen()).addListener(f -> {
                     if (f.isSuccess()) {
-                        aloneSince = Math.min(aloneSince, node.clock.now());
+                        addressHeldSince = Math.min(addressHeldSince, node.clock.now());
                         return;
                     }
                     if (stopped) {
                         return;
                     }
                     if (first) {
-                        Node.log("no messages from peers for now: " + f.cause().getMessage());
+                        Node.log("cannot receive messages from peers yet, retrying; check the peer_listen address: "
+                                + f.cause().getMessage());
                     }
                     node.loop.schedule(() -> {
                         if (!stopped) {
                             bind(false);
                         }
-                    }, AGAIN_MS, TimeUnit.MILLISECONDS);
+                    }, BIND_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                 }).channel();
     }
 
-    /** Lets the address go before it returns: another process is to have it. */
+    /** Releases the peer address before it returns, so that another process can bind it. */
     void stop() {
         stopped = true;
         if (channel != null) {
@@ -77,44 +82,48 @@
         }
     }
 
+    /** Returns whether the peer address is bound or a bind of it is retried. */
     boolean started() {
         return channel != null;
     }
 
     /**
-     * Since when no earlier process of this gateway can run: two can't have the address to which its peers write, and
-     * a process has it until its end or until it lets a new one take its place. Infinite where that is not known.
+     * Returns since when no earlier process of this gateway can be running: two processes cannot bind the address to which the
+     * peers send, and a process holds it until it ends or hands over to a new one. Infinite if that is not known.
      */
     double aloneSince() {
-        return aloneSince;
+        return addressHeldSince;
     }
 
-    /** Whether another gateway has spoken since the start; a fleet that has no clients yet says nothing at all. */
+    /**
+     * Returns whether a peer has sent a message since the start; a fleet without clients sends none at all. May be called from
+     * any thread.
+     */
     boolean hasHeard() {
-        return heard;
+        return messageReceived;
     }
 
     @Override
     public void send(int peer, byte[] data) {
-        InetSocketAddress to = peer == EVERYONE ? node.config.peersAll()
+        InetSocketAddress address = peer == ALL_PEERS ? node.config.peersAll()
                 : peer >= 0 && peer < node.config.peers().size() ? node.config.peers().get(peer) : null;
-        if (channel == null || to == null || data.length > MAX_BYTES) {
+        if (channel == null || address == null || data.length > MAX_MESSAGE_BYTES) {
             return;
         }
-        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data), to), channel.voidPromise());
+        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(data), address), channel.voidPromise());
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-        Integer peer = numbers.get(packet.sender());
+        Integer peer = peerNumbers.get(packet.sender());
         int length = packet.content().readableBytes();
-        if (peer != null && length > 0 && length <= MAX_BYTES) {
-            heard = true;
+        if (peer != null && length > 0 && length <= MAX_MESSAGE_BYTES) {
+            messageReceived = true;
             node.peerSaid(peer, ByteBufUtil.getBytes(packet.content()));
         }
     }
 
-    /** A lost message is normal, and so is an error that an earlier one brought back. */
+    /** Ignored: lost messages are expected, and so are errors that an earlier datagram caused, such as an unreachable port. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
 }
--- a/gateway/src/main/java/marlford/gateway/net/SharedListFetch.java
+++ b/gateway/src/main/java/marlford/gateway/net/SharedListFetch.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 
 /**
- * Whose turn it is to call an agent that was away, so that its return is not a call of every gateway for its whole list at
- * once. Called on the event loop; every call returns at once, and what it leads to may come on any thread.
+ * Coordinates which gateway calls a discovery agent that was unavailable, so that not all gateways fetch its whole list at
+ * once when it returns. The methods are called on the event loop and must not block; callbacks may run on any thread.
  */
 public interface SharedListFetch {
-    /** Each gateway calls when it likes. */
+    /** No coordination: each gateway calls the agent at once. */
     SharedListFetch NONE = new SharedListFetch() {
         @Override
         public void due(String agent, Consumer<Told> next) {
@@ -15,24 +15,28 @@
         }
 
         @Override
-        public void called(String agent, boolean answered, String whole) { }
+        public void called(String agent, boolean answered, String wholeList) { }
     };
 
     /**
-     * A whole list that another gateway was told by this agent.
+     * A whole list that another gateway has fetched from the agent.
      *
-     * @param text as the agent wrote it
-     * @param ageMs at most, since it was told
+     * @param text as the agent sent it
+     * @param ageMs upper bound of the time since the agent sent it, in milliseconds
      */
     record Told(String text, double ageMs) { }
 
-    /** A call is due; {@code next} is run once, with null where this gateway is to call, or else with a list to take. */
+    /**
+     * Requests a turn to call an agent.
+     *
+     * @param next called once: with null if this gateway is to call the agent, or else with a list to use instead
+     */
     void due(String agent, Consumer<Told> next);
 
     /**
-     * What came of the call that was {@link #due}.
+     * Reports the result of a call for which a turn was requested by {@link #due}.
      *
-     * @param whole the agent's text where it told its whole list; null where it told what has changed
+     * @param wholeList the agent's response if it sent its whole list; null if the call failed or it sent only changes
      */
-    void called(String agent, boolean answered, String whole);
+    void called(String agent, boolean answered, String wholeList);
 }
--- a/gateway/src/main/java/marlford/gateway/net/Transport.java
+++ b/gateway/src/main/java/marlford/gateway/net/Transport.java
@@ -22,16 +22,19 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * What carries a node's connections: TCP, or for its warm-up the process's own memory, which nobody else can reach.
- * Channels are made by their constructors: by name the virtual machine would write code of its own at the sixteenth.
+ * The transport of a node's connections: TCP, or in-process channels for the warm-up, which no other process can reach.
+ * Channels are created by constructor references. With a class, Netty creates them by reflection, for which the JVM generates
+ * code at the sixteenth call.
  */
 abstract class Transport {
+    /** TCP sockets. */
     static final Transport TCP = new Transport() {
         @Override
         ServerBootstrap server(EventLoopGroup group) {
             return new ServerBootstrap().group(group).channelFactory(NioServerSocketChannel::new)
                     .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                    .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true) // for an upgrade
+                    // The new process of an upgrade binds the same address.
+                    .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                     .childOption(ChannelOption.TCP_NODELAY, true);
         }
 
@@ -43,7 +46,7 @@
 
         @Override
         void claim(InetSocketAddress address) throws IOException {
-            try (Socket probe = new Socket()) { // bound and not listening, it takes nobody's connection
+            try (Socket probe = new Socket()) { // bound but not listening, so it accepts no connections
                 probe.setReuseAddress(true);
                 probe.bind(address);
             } catch (BindException e) {
@@ -57,6 +60,7 @@
         }
     };
 
+    /** Channels within this process. */
     static final Transport MEMORY = new Transport() {
         @Override
         ServerBootstrap server(EventLoopGroup group) {
@@ -77,21 +81,25 @@
         }
     };
 
-    private static final int SPARE_DESCRIPTORS = 8;
-    private static final int MOST_FAILED = 2 * SPARE_DESCRIPTORS; // calls, as some may fail by chance
+    private static final int REQUIRED_SPARE_DESCRIPTORS = 8;
+    private static final int MAX_FAILED_OPENS = 2 * REQUIRED_SPARE_DESCRIPTORS; // single calls may fail by chance
     static final int BACKLOG = 512; // connections that wait to be accepted
 
+    /** Returns a bootstrap for a listener. */
     abstract ServerBootstrap server(EventLoopGroup group);
 
+    /** Returns a bootstrap for outgoing connections. */
     abstract Bootstrap client(EventLoop loop);
 
     /**
-     * Makes sure that no other program listens there: with the option that an upgrade needs, the system would let two
-     * share an address.
+     * Verifies that no other program listens on an address. With SO_REUSEPORT, which an upgrade needs, the operating system
+     * would let two programs share it.
+     *
+     * @throws IOException if the address is in use
      */
     abstract void claim(InetSocketAddress address) throws IOException;
 
-    /** Whether no program listens there now. */
+    /** Returns whether no program listens on an address now. */
     final boolean isFree(InetSocketAddress address) {
         try {
             claim(address);
@@ -101,13 +109,17 @@
         }
     }
 
+    /** Returns the form of an address that this transport connects and binds to. */
     abstract SocketAddress at(InetSocketAddress address);
 
-    /** Whether the process can open some descriptors now, as hosts and discovery need them; a failed call alone doesn't tell. */
+    /**
+     * Returns whether the process can open some descriptors now, which connections to hosts and discovery need. Several are
+     * tried, since a single failed call proves nothing.
+     */
     boolean hasSpareDescriptors() {
-        SocketChannel[] spare = new SocketChannel[SPARE_DESCRIPTORS];
+        SocketChannel[] spare = new SocketChannel[REQUIRED_SPARE_DESCRIPTORS];
         int opened = 0;
-        for (int failed = 0; opened < spare.length && failed < MOST_FAILED;) {
+        for (int failed = 0; opened < spare.length && failed < MAX_FAILED_OPENS;) {
             try {
                 spare[opened] = openSocket();
                 opened++;
@@ -119,6 +131,7 @@
         return opened == spare.length;
     }
 
+    /** Opens a socket for {@link #hasSpareDescriptors}; tests override it. */
     SocketChannel openSocket() throws IOException {
         return SocketChannel.open();
     }
@@ -130,12 +143,12 @@
                     channel.close();
                 }
             } catch (IOException e) {
-                Node.log("an unused socket could not be closed: " + e);
+                Node.log("cannot close a socket that was opened to check for spare descriptors: " + e);
             }
         }
     }
 
-    /** Reads what stands unread in a socket before the loop comes to it; in memory nothing stands unread. */
+    /** Reads bytes that are already in a socket, before the event loop polls it. In-process channels have no unread bytes. */
     static void readNow(Channel channel) {
         if (channel.unsafe() instanceof NioUnsafe) {
             ((NioUnsafe) channel.unsafe()).read();
--- a/gateway/src/main/java/marlford/gateway/net/UnreadableListException.java
+++ b/gateway/src/main/java/marlford/gateway/net/UnreadableListException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** An answer of discovery that is not a list of hosts; nothing of it was taken. */
+/** A response of discovery is not a valid list of hosts. None of its entries were applied. */
 class UnreadableListException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/test/java/marlford/gateway/net/ConsoleTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ConsoleTest.java
@@ -25,20 +25,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What operators ask, over sockets, while the gateway serves, stands still or is beset. */
+/** Requests of operators over sockets while the gateway serves, its event loop is blocked, or connections flood the console. */
 class ConsoleTest extends SocketTest {
-    private Socket caller(Node node) throws IOException {
-        Socket s = kept(new Socket(node.console().getAddress(), node.console().getPort()));
-        s.setSoTimeout(Sockets.PATIENCE_MS);
-        return s;
+    /** Connects to the console. */
+    private Socket connect(Node node) throws IOException {
+        Socket socket = kept(new Socket(node.console().getAddress(), node.console().getPort()));
+        socket.setSoTimeout(Sockets.PATIENCE_MS);
+        return socket;
     }
 
+    /** Sends a request to the console and checks that the connection closes after the response. */
     private Message call(Node node, String method, String path, String body) throws IOException {
-        Socket s = caller(node);
-        s.getOutputStream().write(bytes(method + " " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: "
+        Socket socket = connect(node);
+        socket.getOutputStream().write(bytes(method + " " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body));
-        Message answer = Sockets.read(s.getInputStream());
-        assertEquals(-1, s.getInputStream().read()); // one call on a connection
+        Message answer = Sockets.read(socket.getInputStream());
+        assertEquals(-1, socket.getInputStream().read()); // one request per connection
         return answer;
     }
 
@@ -46,68 +48,71 @@
         return call(node, "POST", path, body).status();
     }
 
-    private Map<String, Long> figures(Node node) throws IOException {
-        Map<String, Long> figures = new HashMap<>();
+    /** Reads the values of /admin/stats by name. */
+    private Map<String, Long> metrics(Node node) throws IOException {
+        Map<String, Long> metrics = new HashMap<>();
         call(node, "GET", "/admin/stats", "").text().lines()
-                .forEach(l -> figures.put(l.split("=")[0], Long.parseLong(l.split("=")[1])));
-        return figures;
+                .forEach(line -> metrics.put(line.split("=")[0], Long.parseLong(line.split("=")[1])));
+        return metrics;
     }
 
-    private void awaitFigure(Node node, String name, long value) throws Exception {
-        Sockets.await(() -> figures(node).get(name) == value, name + " is " + value);
+    private void awaitMetric(Node node, String name, long value) throws Exception {
+        Sockets.await(() -> metrics(node).get(name) == value, name + " is " + value);
     }
 
-    private static void settled(Node node) throws InterruptedException {
-        node.loop.submit(() -> { }).sync(); // what the console handed over was done
+    /** Waits until the event loop has executed earlier commands. */
+    private static void awaitCommands(Node node) throws InterruptedException {
+        node.loop.submit(() -> { }).sync(); // what the console has submitted to the event loop was executed
     }
 
-    private int serve(Node node, String id) throws IOException {
-        try (Client c = new Client(node)) {
-            return c.send(view(id, Sockets.PATIENCE_MS)).receive().status();
+    /** Sends a request to the gateway on a new connection and returns the status. */
+    private int sendRequest(Node node, String id) throws IOException {
+        try (Client client = new Client(node)) {
+            return client.send(view(id, Sockets.PATIENCE_MS)).receive().status();
         }
     }
 
     @Test
-    void aHostThatIsLeftOutGetsNothingUntilItIsCalledBack() throws Exception {
+    void aCordonedHostGetsNoRequestsUntilItIsUncordoned() throws Exception {
         Server one = host(SocketTest::echo);
         Server two = host(SocketTest::echo);
         Node node = nodeBefore(one, two);
         assertEquals(200, post(node, "/admin/cordon", "h0"));
-        assertEquals(200, post(node, "/admin/cordon", "h0")); // two calls out need one call back
-        settled(node);
+        assertEquals(200, post(node, "/admin/cordon", "h0")); // a repeated cordon is undone by one uncordon
+        awaitCommands(node);
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, serve(node, "out" + i));
+            assertEquals(200, sendRequest(node, "out" + i));
         }
         assertEquals(List.of(), one.asked);
-        awaitFigure(node, "svc.cluster_unhealthy", 1);
+        awaitMetric(node, "svc.cluster_unhealthy", 1);
         awaitWatches(1);
         registry.news.add(list(2, true, entry("h0", one.address(), "ready"), entry("h1", two.address(), "ready")));
         awaitWatches(2);
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, serve(node, "still" + i));
+            assertEquals(200, sendRequest(node, "still" + i));
         }
         assertEquals(List.of(), one.asked);
         assertEquals(200, post(node, "/admin/uncordon", "h0"));
         assertEquals(200, post(node, "/admin/cordon", "h1"));
-        settled(node);
+        awaitCommands(node);
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, serve(node, "back" + i));
+            assertEquals(200, sendRequest(node, "back" + i));
         }
         assertEquals(20, one.asked.size());
-        awaitFigure(node, "svc.cluster_size", 2);
-        awaitFigure(node, "svc.cluster_unhealthy", 1);
+        awaitMetric(node, "svc.cluster_size", 2);
+        awaitMetric(node, "svc.cluster_unhealthy", 1);
     }
 
-    /** Restarted while it is out, a host may be off the list for a while: it is still the operators' to call back. */
+    /** A cordoned host that restarts may be missing from the list for a while; it can be uncordoned all the same. */
     @Test
-    void aHostThatLeftTheListCanBeCalledBack() throws Exception {
+    void aCordonedHostThatIsNoLongerListedCanBeUncordoned() throws Exception {
         Server one = host(SocketTest::echo);
         Node node = nodeBefore(one);
         assertEquals(200, post(node, "/admin/cordon", "h0"));
-        awaitFigure(node, "svc.cluster_size", 1);
+        awaitMetric(node, "svc.cluster_size", 1);
         awaitWatches(1);
         registry.news.add(list(2, true));
-        awaitFigure(node, "svc.cluster_size", 0);
+        awaitMetric(node, "svc.cluster_size", 0);
         assertEquals(200, post(node, "/admin/uncordon", "h0"));
         assertEquals(404, post(node, "/admin/uncordon", "h0"));
     }
@@ -115,70 +120,72 @@
     @ParameterizedTest
     @ValueSource(strings = {"POST /admin/cordon nobody", "POST /admin/uncordon nobody", "POST /admin/cordon ",
         "POST /admin/unknown h0", "GET /admin/cordon h0", "POST /admin/stats h0", "GET / h0"})
-    void whatCantBeDoneIsNo(String wrong) throws Exception {
+    void unknownHostsAndCommandsAreNotFound(String command) throws Exception {
         Node node = nodeBefore(host(SocketTest::echo));
-        String[] call = wrong.split(" ", -1);
+        String[] call = command.split(" ", -1);
         assertEquals(404, call(node, call[0], call[1], call[2]).status());
     }
 
     @Test
-    void whatCantBeReadIsNo() throws Exception {
+    void invalidAndTooLargeRequestsAreRejected() throws Exception {
         Node node = nodeBefore(host(SocketTest::echo));
-        Socket s = caller(node);
-        s.getOutputStream().write(bytes("POST /admin/cordon HTTP/1.1\r\nContent-Length: x\r\n\r\n"));
-        Message answer = Sockets.read(s.getInputStream());
+        Socket socket = connect(node);
+        socket.getOutputStream().write(bytes("POST /admin/cordon HTTP/1.1\r\nContent-Length: x\r\n\r\n"));
+        Message answer = Sockets.read(socket.getInputStream());
         assertTrue(answer == null || answer.status() == 400);
         assertEquals(413, post(node, "/admin/cordon", "h".repeat(10_000)));
     }
 
     @Test
-    void figuresSayWhatBecameOfEachRequest() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        Server host = host((m, s) -> {
-            if (m.start().contains("slow")) {
-                held.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    void theMetricsCountTheResultOfEachRequest() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        Server host = host((message, socket) -> {
+            if (message.start().contains("slow")) {
+                release.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
-            if (m.start().contains("/order/")) {
-                s.close();
+            if (message.start().contains("/order/")) {
+                socket.close();
             } else {
-                echo(m, s);
+                echo(message, socket);
             }
         });
         Node node = nodeBefore(host);
-        assertEquals(200, serve(node, "a"));
-        assertEquals(200, serve(node, "b"));
+        assertEquals(200, sendRequest(node, "a"));
+        assertEquals(200, sendRequest(node, "b"));
         assertEquals(502, client(node).send(order("o", "body")).receive().status());
-        String tiny = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny")
+        String tinyPlanRequest = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny")
                 .replace("b4d65521", "b4d65522");
-        assertEquals(200, client(node).send(tiny).receive().status());
-        assertEquals(429, client(node).send(tiny.replace("t?", "u?")).receive().status());
+        assertEquals(200, client(node).send(tinyPlanRequest).receive().status());
+        assertEquals(429, client(node).send(tinyPlanRequest.replace("t?", "u?")).receive().status());
         Client slow = client(node).send(view("slow", Sockets.PATIENCE_MS));
-        awaitFigure(node, "svc.current", 1);
-        Map<String, Long> all = figures(node);
+        awaitMetric(node, "svc.current", 1);
+        Map<String, Long> all = metrics(node);
         assertEquals(3, all.get("svc.answered.view"));
         assertEquals(1, all.get("svc.deferred.view"));
         assertEquals(0, all.get("svc.errored.view"));
         assertEquals(1, all.get("svc.errored.order"));
         assertEquals(0, all.get("svc.answered.order"));
-        // Taken is not yet sent, and sent not yet noted by the host: what it was asked is looked at anew each time.
-        Sockets.await(() -> host.asked.stream().anyMatch(m -> "slow".equals(m.header("X-Trace-Id"))), "slow is asked");
-        Sockets.await(() -> figures(node).get("svc.sends") == host.asked.size(), "each attempt counts once");
-        held.countDown();
+        // Accepting, sending and the host's recording are not simultaneous, so the recorded requests are read again each time.
+        Sockets.await(() -> host.asked.stream().anyMatch(message -> "slow".equals(message.header("X-Trace-Id"))),
+                "the host has received the request slow");
+        Sockets.await(() -> metrics(node).get("svc.sends") == host.asked.size(),
+                "svc.sends equals the number of requests that the host has received");
+        release.countDown();
         assertEquals(200, slow.receive().status());
-        awaitFigure(node, "svc.current", 0);
-        Client leaves = client(node).send(view("slow2", Sockets.PATIENCE_MS));
-        leaves.close();
-        awaitFigure(node, "svc.current", 0);
+        awaitMetric(node, "svc.current", 0);
+        Client disconnecting = client(node).send(view("slow2", Sockets.PATIENCE_MS));
+        disconnecting.close();
+        awaitMetric(node, "svc.current", 0);
     }
 
-    /** An answer is due within a second under any load, also where the loop that serves clients does nothing at all. */
+    /** Operators must get a response within a second under any load, even if the event loop that serves clients is blocked. */
     @Test
-    void aGatewayThatStandsStillAnswersItsOperators() throws Exception {
+    void theConsoleRespondsWhileTheEventLoopIsBlocked() throws Exception {
         Node node = nodeBefore(host(SocketTest::echo));
-        CountDownLatch still = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         node.loop.execute(() -> {
             try {
-                still.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                unblock.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -186,34 +193,34 @@
         try {
             assertEquals(200, call(node, "GET", "/admin/health", "").status());
             assertEquals(200, post(node, "/admin/cordon", "h0"));
-            assertNotNull(figures(node).get("svc.sends"));
+            assertNotNull(metrics(node).get("svc.sends"));
         } finally {
-            still.countDown();
+            unblock.countDown();
         }
     }
 
     @Test
-    void callersThatNeverSpeakKeepNobodyOut() throws Exception {
+    void connectionsWithoutARequestDoNotBlockTheConsole() throws Exception {
         Node node = nodeBefore(host(SocketTest::echo));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Socket s = caller(node);
-            s.getOutputStream().write(bytes("GET /admin/he"));
-            silent.add(s);
+            Socket socket = connect(node);
+            socket.getOutputStream().write(bytes("GET /admin/he"));
+            silent.add(socket);
         }
         assertEquals(200, call(node, "GET", "/admin/health", "").status());
-        assertEquals(-1, silent.get(0).getInputStream().read()); // the oldest gave way
+        assertEquals(-1, silent.get(0).getInputStream().read()); // the oldest connection was evicted
     }
 
-    /** Sent away, clients lose nothing: what is open is answered, what still comes too, and no connection stays. */
+    /** Quiesce: open and late requests are still answered, all connections are then closed; resume serves clients again. */
     @Test
-    void clientsAreSentAwayAndTakenBack() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        Server host = host((m, s) -> {
-            if (m.start().contains("held")) {
-                held.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    void quiesceClosesConnectionsWithoutLosingRequestsAndResumeServesAgain() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        Server host = host((message, socket) -> {
+            if (message.start().contains("held")) {
+                release.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
-            echo(m, s);
+            echo(message, socket);
         });
         Node node = nodeBefore(host);
         Client busy = client(node).send(view("held", Sockets.PATIENCE_MS));
@@ -223,47 +230,47 @@
         assertNotNull(host.next());
         assertEquals(200, post(node, "/admin/quiesce", ""));
         assertEquals(200, post(node, "/admin/quiesce", ""));
-        settled(node);
+        awaitCommands(node);
         assertEquals(503, call(node, "GET", "/admin/health", "").status());
-        Message no = client(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive();
-        assertEquals(503, no.status());
-        assertEquals("close", no.header("Connection"));
+        Message refused = client(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive();
+        assertEquals(503, refused.status());
+        assertEquals("close", refused.header("Connection"));
         Client late = client(node).send(view("late", Sockets.PATIENCE_MS));
         assertEquals("close", late.receive().header("Connection"));
         assertNull(late.receive());
         assertNull(used.receive());
         assertNull(silent.receive());
-        held.countDown();
+        release.countDown();
         Message answer = busy.receive();
         assertEquals(200, answer.status());
         assertEquals("close", answer.header("Connection"));
         assertNull(busy.receive());
         assertEquals(200, post(node, "/admin/resume", ""));
-        settled(node);
+        awaitCommands(node);
         assertEquals(200, call(node, "GET", "/admin/health", "").status());
         Client again = client(node).send(view("again", Sockets.PATIENCE_MS));
         assertNull(again.receive().header("Connection"));
         assertEquals(200, again.send(view("again2", Sockets.PATIENCE_MS)).receive().status());
     }
 
-    /** Back to work is no way out of an end that was asked for. */
+    /** A resume does not cancel a shutdown. */
     @Test
-    void anEndThatWasAskedForIsNotTakenBack() throws Exception {
+    void resumeDoesNotCancelAShutdown() throws Exception {
         Node node = nodeBefore(host(SocketTest::echo));
         node.loop.submit(node::drain).sync();
         assertEquals(200, post(node, "/admin/resume", ""));
-        settled(node);
+        awaitCommands(node);
         assertEquals(503, call(node, "GET", "/admin/health", "").status());
         assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
     }
 
-    /** Nor while whoever is connected is still served. */
+    /** A resume does not cancel a shutdown while connected clients are still served. */
     @Test
-    void anEndIsNotTakenBackWhileClientsStay() throws Exception {
+    void resumeDoesNotCancelADelayedShutdown() throws Exception {
         Node node = nodeBefore(host(SocketTest::echo));
         node.loop.submit(() -> node.drainAfter(Sockets.PATIENCE_MS)).sync();
         assertEquals(200, post(node, "/admin/resume", ""));
-        settled(node);
+        awaitCommands(node);
         assertEquals(503, call(node, "GET", "/admin/health", "").status());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/ForwardingTransport.java
+++ b/gateway/src/test/java/marlford/gateway/net/ForwardingTransport.java
@@ -8,7 +8,7 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** TCP, of which a test changes a part. */
+/** Forwards to TCP; tests override single methods to inject failures. */
 class ForwardingTransport extends Transport {
     @Override
     ServerBootstrap server(EventLoopGroup group) {
--- a/gateway/src/test/java/marlford/gateway/net/HostIsBlamedForALocalFailureTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostIsBlamedForALocalFailureTest.java
@@ -28,14 +28,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A connection that this machine can't make costs its request neither an attempt nor its answer, and its host no trust. */
+/**
+ * Guards against blaming a host for a connect failure on this machine. Such a failure must cost the request neither an attempt
+ * nor its response, and the host must not be avoided.
+ */
 class HostIsBlamedForALocalFailureTest extends SocketTest {
-    private static final int IN_A_ROW = 8; // more than a request has attempts
+    private static final int CONSECUTIVE_FAILURES = 8; // more than the attempts of a request
 
-    private final AtomicInteger failing = new AtomicInteger();
-    private final AtomicInteger failed = new AtomicInteger();
+    private final AtomicInteger failuresLeft = new AtomicInteger();
+    private final AtomicInteger failedConnects = new AtomicInteger();
 
-    /** What fails, as Java and netty tell it. */
+    /** Connect failures, as Java and Netty report them. */
     enum Failure {
         ENFILE(true, new IOException("Too many open files in system")),
         EADDRNOTAVAIL(true, new BindException("Cannot assign requested address")),
@@ -44,15 +47,16 @@
         EHOSTUNREACH(false, new NoRouteToHostException("No route to host")),
         ETIMEDOUT(false, new ConnectException("Connection timed out"));
 
-        final boolean here;
+        final boolean local;
         final IOException cause;
 
-        Failure(boolean here, IOException cause) {
-            this.here = here;
+        Failure(boolean local, IOException cause) {
+            this.local = local;
             this.cause = cause;
         }
     }
 
+    /** Fails the next {@link #failing} connects. */
     private final class FailingTransport extends ForwardingTransport {
         private final Failure failure;
 
@@ -62,17 +66,17 @@
 
         @Override
         Bootstrap client(EventLoop loop) {
-            return new Bootstrap().group(loop).channelFactory(this::channel);
+            return new Bootstrap().group(loop).channelFactory(this::newChannel);
         }
 
-        private Channel channel() {
-            if (failure == Failure.ENFILE && fails()) {
+        private Channel newChannel() {
+            if (failure == Failure.ENFILE && shouldFail()) {
                 throw new ChannelException("Failed to open a socket.", failure.cause);
             }
             return new NioSocketChannel() {
                 @Override
                 protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-                    if (failure != Failure.ENFILE && fails()) {
+                    if (failure != Failure.ENFILE && shouldFail()) {
                         throw failure.cause;
                     }
                     return super.doConnect(remote, local);
@@ -80,14 +84,14 @@
             };
         }
 
-        private boolean fails() {
-            boolean now = failing.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
-            failed.addAndGet(now ? 1 : 0);
-            return now;
+        private boolean shouldFail() {
+            boolean fail = failuresLeft.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
+            failedConnects.addAndGet(fail ? 1 : 0);
+            return fail;
         }
     }
 
-    private Node node(Failure failure, String... hosts) throws Exception {
+    private Node startNode(Failure failure, String... hosts) throws Exception {
         registry = kept(new Registry(list(1, true, hosts)));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionEngine::new, new FailingTransport(failure), new NioEventLoopGroup(1));
@@ -98,43 +102,43 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ENFILE", "EADDRNOTAVAIL", "ENOBUFS"})
-    void aFailureOfThisMachineIsTriedAgainWithinTheAttempt(Failure failure) throws Exception {
+    void aLocalFailureIsRetriedWithinTheAttempt(Failure failure) throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = node(failure, entry("h0", host.address(), "ready"));
-        try (Client c = new Client(node)) {
-            failing.set(IN_A_ROW);
-            assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        Node node = startNode(failure, entry("h0", host.address(), "ready"));
+        try (Client client = new Client(node)) {
+            failuresLeft.set(CONSECUTIVE_FAILURES);
+            assertEquals(200, client.send(view("a", Sockets.PATIENCE_MS)).receive().status());
         }
-        assertEquals(IN_A_ROW, failed.get());
+        assertEquals(CONSECUTIVE_FAILURES, failedConnects.get());
         assertEquals(1, host.asked.size());
         assertEquals(0, node.loop.submit(() -> node.avoided()).get());
     }
 
-    /** The host, or the way to it: another one is asked, and this one avoided. */
+    /** The host or the network path to it failed: the request goes to another host, and this one is avoided. */
     @ParameterizedTest
     @EnumSource(names = {"ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT"})
-    void aFailureOfTheWayIsAWordOnTheHost(Failure failure) throws Exception {
+    void aNetworkFailureIsEvidenceAgainstTheHost(Failure failure) throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = node(failure, entry("h0", host.address(), "ready"), entry("h1", host.address(), "ready"));
-        try (Client c = new Client(node)) {
-            failing.set(1);
-            assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        Node node = startNode(failure, entry("h0", host.address(), "ready"), entry("h1", host.address(), "ready"));
+        try (Client client = new Client(node)) {
+            failuresLeft.set(1);
+            assertEquals(200, client.send(view("a", Sockets.PATIENCE_MS)).receive().status());
         }
-        assertEquals(1, failed.get());
+        assertEquals(1, failedConnects.get());
         assertEquals(1, node.loop.submit(() -> node.avoided()).get());
     }
 
-    /** It goes on for longer than a connection is tried: an answer that says so, and a host that is trusted as before. */
+    /** The failure outlasts the retries: the client gets an error, and the host is not avoided. */
     @Test
-    void aLastingFailureIsAnsweredAndLeavesTheHostTrusted() throws Exception {
+    void aLastingLocalFailureIsAnErrorButTheHostIsNotAvoided() throws Exception {
         Server host = host(SocketTest::echo);
-        Node node = node(Failure.ENFILE, entry("h0", host.address(), "ready"));
-        try (Client c = new Client(node)) {
-            failing.set(Integer.MAX_VALUE);
-            assertTrue(c.send(view("a", Sockets.PATIENCE_MS)).receive().status() >= 400);
+        Node node = startNode(Failure.ENFILE, entry("h0", host.address(), "ready"));
+        try (Client client = new Client(node)) {
+            failuresLeft.set(Integer.MAX_VALUE);
+            assertTrue(client.send(view("a", Sockets.PATIENCE_MS)).receive().status() >= 400);
             assertEquals(0, node.loop.submit(() -> node.avoided()).get());
-            failing.set(0);
-            assertEquals(200, c.send(view("b", Sockets.PATIENCE_MS)).receive().status());
+            failuresLeft.set(0);
+            assertEquals(200, client.send(view("b", Sockets.PATIENCE_MS)).receive().status());
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
@@ -28,23 +28,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A list in all the forms that the protocol allows, and in those that it does not. */
+/** Parsing of valid and invalid lists of hosts, in parts of any size. */
 class HostListParserTest {
-    private static final int MANY = 1000;
+    private static final int MAX_HOSTS = 1000;
 
-    private static HostListAnswer parse(String text, int pieces, int maxHosts) throws IOException {
+    private static HostListAnswer parse(String text, int partBytes, int maxHosts) throws IOException {
         HostListParser parser = new HostListParser(maxHosts);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int from = 0; from < bytes.length; from += pieces) {
-            ByteBuf piece = Unpooled.wrappedBuffer(bytes, from, Math.min(pieces, bytes.length - from));
-            parser.feed(piece);
-            assertTrue(piece.release(), "a piece stays its owner's");
+        for (int from = 0; from < bytes.length; from += partBytes) {
+            ByteBuf part = Unpooled.wrappedBuffer(bytes, from, Math.min(partBytes, bytes.length - from));
+            parser.feed(part);
+            assertTrue(part.release(), "the parser released or retained a buffer of its caller");
         }
         return parser.end();
     }
 
     private static HostListAnswer parse(String text) throws IOException {
-        return parse(text, Integer.MAX_VALUE / 2, MANY);
+        return parse(text, Integer.MAX_VALUE / 2, MAX_HOSTS);
     }
 
     @Provide
@@ -55,19 +55,19 @@
                 Arbitraries.of("1", "0.5", "-1e3", "\"2.5\"", "true"),
                 Arbitraries.of("0", "1764650000000", "1764650000000.5"),
                 Arbitraries.of("", ",\"more\":{\"id\":[1,{\"id\":\"x\"}]}", ",\"id\":\"last\""))
-                .as((id, at, state, weight, started, more) -> "{\"id\":\"" + id + "\",\"addr\":\"" + at
+                .as((id, address, state, weight, started, extraFields) -> "{\"id\":\"" + id + "\",\"addr\":\"" + address
                         + "\",\"zone\":\"a\",\"kind\":7,\"cell\":3,\"state\":\"" + state + "\",\"weight\":" + weight
-                        + ",\"started_ms\":" + started + more + "}");
+                        + ",\"started_ms\":" + started + extraFields + "}");
     }
 
-    /** The reading of the whole text as a tree is the measure, in whatever pieces the text comes. */
+    /** Compares the result with that of reading the whole text as a tree, for parts of any size. */
     @Property(tries = 300)
-    void readsWhatATreeOfTheTextSays(@ForAll("lists") String text, @ForAll @IntRange(min = 1, max = 60) int pieces)
+    void parsesTheSameAsTreeReading(@ForAll("lists") String text, @ForAll @IntRange(min = 1, max = 60) int partBytes)
             throws IOException {
-        HostListAnswer read = parse(text, pieces, MANY);
-        assertEquals(Discovery.entries(new ObjectMapper().readTree(text)), read.entries());
-        assertEquals(41, read.version());
-        assertTrue(read.full());
+        HostListAnswer parsed = parse(text, partBytes, MAX_HOSTS);
+        assertEquals(Discovery.readEntries(new ObjectMapper().readTree(text)), parsed.entries());
+        assertEquals(41, parsed.version());
+        assertTrue(parsed.full());
     }
 
     @Provide
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void changesAndMissingFieldsAreRead() throws IOException {
+    void changesAndMissingFieldsAreParsed() throws IOException {
         HostListAnswer changes = parse(list(43, false, entry("h", "10.0.0.1:80", "draining")));
         assertFalse(changes.full());
         assertEquals(HostState.DRAINING, changes.entries().get(0).host().state());
@@ -94,7 +94,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "nonsense", "{\"version\":1", "{\"version\":1,\"servers\":[{\"id\":\"h\"}",
             "{\"servers\":[}", "{\"version\":1}}"})
-    void whatIsNoListIsSaidSo(String text) {
+    void invalidListsAreRejected(String text) {
         if (text.equals("{\"version\":1}}")) {
             assertEquals(1, org.junit.jupiter.api.Assertions.assertDoesNotThrow(() -> parse(text)).version());
         } else {
@@ -102,25 +102,25 @@
         }
     }
 
-    /** Text without an end takes no memory, and a value that is longer than any has a right to be ends the reading. */
+    /** Guards against unbounded memory use: a value beyond the length limit is rejected. */
     @Test
     void anEndlessValueIsRefused() throws IOException {
         HostListParser parser = new HostListParser(1);
         parser.feed("{\"servers\":[{\"id\":\"".getBytes(StandardCharsets.US_ASCII));
-        byte[] more = "x".repeat(8192).getBytes(StandardCharsets.US_ASCII);
+        byte[] valuePart = "x".repeat(8192).getBytes(StandardCharsets.US_ASCII);
         assertThrows(UnreadableListException.class, () -> {
             for (int i = 0; i < 100; i++) {
-                parser.feed(more);
+                parser.feed(valuePart);
             }
         });
     }
 
     @Test
-    void aListIsReadUpToItsLimit() throws IOException {
+    void aListBeyondTheLimitOfHostsIsRejected() throws IOException {
         String ten = list(1, true, IntStream.range(0, 10).mapToObj(i -> entry("h" + i, "10.0.0.1:80", "ready"))
                 .collect(Collectors.toList()).toArray(new String[0]));
         assertEquals(10, parse(ten, 100, 10).entries().size());
-        String said = assertThrows(ListTooLongException.class, () -> parse(ten, 100, 9)).getMessage();
-        assertTrue(said.contains("more than the 9 hosts") && said.lines().count() == 1, said);
+        String message = assertThrows(ListTooLongException.class, () -> parse(ten, 100, 9)).getMessage();
+        assertTrue(message.contains("more than the 9 hosts") && message.lines().count() == 1, message);
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/SocketTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/SocketTest.java
@@ -31,14 +31,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
 
-/** A node between real sockets, which all end with the test, and no buffer of which may be lost. */
+/**
+ * Base class of tests that run a node between real sockets. All resources are closed after each test, and each class checks
+ * that no Netty buffer has leaked.
+ */
 abstract class SocketTest {
-    private static final Logger LEAKS = Logger.getLogger("io.netty.util.ResourceLeakDetector");
-    private static final List<String> LEAKED = new CopyOnWriteArrayList<>();
-    private static final Handler NOTE = new Handler() {
+    private static final Logger LEAK_LOGGER = Logger.getLogger("io.netty.util.ResourceLeakDetector");
+    private static final List<String> LEAK_REPORTS = new CopyOnWriteArrayList<>();
+    private static final Handler LEAK_HANDLER = new Handler() {
         @Override
-        public void publish(LogRecord r) {
-            LEAKED.add(r.getMessage());
+        public void publish(LogRecord record) {
+            LEAK_REPORTS.add(record.getMessage());
         }
 
         @Override
@@ -52,54 +55,58 @@
     Registry registry;
 
     @BeforeAll
-    static void noteLeaks() {
-        LEAKS.addHandler(NOTE);
+    static void recordLeakReports() {
+        LEAK_LOGGER.addHandler(LEAK_HANDLER);
     }
 
-    /** A buffer that was not released shows once it has been collected and another is taken. */
+    /** Netty reports a leaked buffer after it was garbage-collected and another one is allocated. */
     @AfterAll
     static void noBufferWasLeaked() {
         for (int i = 0; i < 5; i++) {
             System.gc();
             PooledByteBufAllocator.DEFAULT.buffer(64).release();
         }
-        LEAKS.removeHandler(NOTE);
-        assertEquals(List.of(), LEAKED);
+        LEAK_LOGGER.removeHandler(LEAK_HANDLER);
+        assertEquals(List.of(), LEAK_REPORTS);
     }
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable c : ends) {
-            c.close();
+        for (Closeable resource : ends) {
+            resource.close();
         }
     }
 
-    <T extends Closeable> T kept(T end) {
-        ends.push(end);
-        return end;
+    /** Closes a resource after the test; the latest is closed first. */
+    <T extends Closeable> T kept(T resource) {
+        ends.push(resource);
+        return resource;
     }
 
+    /** Starts a host with scripted responses. */
     Server host(Sockets.Answer answer) throws IOException {
         return kept(new Server(answer));
     }
 
-    static void echo(Message m, java.net.Socket s) throws IOException {
-        s.getOutputStream().write(ok("for " + m.header("X-Trace-Id") + " " + m.text()));
+    /** Responds with the request's trace id and body. */
+    static void echo(Message message, java.net.Socket socket) throws IOException {
+        socket.getOutputStream().write(ok("for " + message.header("X-Trace-Id") + " " + message.text()));
     }
 
+    /** Starts a node whose discovery lists these entries. */
     Node nodeWith(String... entries) throws IOException {
         registry = kept(new Registry(list(1, true, entries)));
         return running(Sockets.config(registry.server.address(), "127.0.0.1:0"));
     }
 
-    /** A node of this configuration, which ends with the test. */
+    /** Starts a node with this configuration. */
     Node running(String config) throws IOException {
         Node node = Sockets.node(config);
         ends.push(node::stop);
         return node;
     }
 
-    /** The same, which goes by a clock of the test's own. */
+    /** Starts a node with this configuration and a test clock. */
     Node of(String config, MovedClock clock) throws IOException {
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), DecisionEngine::new, Transport.TCP,
                 new NioEventLoopGroup(1), clock);
@@ -108,23 +115,25 @@
         return node;
     }
 
-    /** Before one host, by a clock of the test's own. */
+    /** Starts a node with one host and a test clock. */
     Node nodeBefore(Server host, MovedClock clock) throws IOException {
-        return of(configBefore(host), clock);
+        return of(configFor(host), clock);
     }
 
-    /** Before one host, with a decision module of the test's own. */
-    Node nodeBefore(Server host, Function<Actions, Events> module) throws IOException {
-        Node node = Sockets.node(configBefore(host), module);
+    /** Starts a node with one host and a test decision engine. */
+    Node nodeBefore(Server host, Function<Actions, Events> engine) throws IOException {
+        Node node = Sockets.node(configFor(host), engine);
         ends.push(node::stop);
         return node;
     }
 
-    private String configBefore(Server host) throws IOException {
+    /** Returns a configuration whose discovery lists one host. */
+    private String configFor(Server host) throws IOException {
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         return Sockets.config(registry.server.address(), "127.0.0.1:0");
     }
 
+    /** Starts a node with these hosts, with the ids h0, h1 and so on. */
     Node nodeBefore(Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
@@ -133,14 +142,16 @@
         return nodeWith(entries);
     }
 
+    /** Connects a client to a node. */
     Client client(Node node) throws IOException {
         return kept(new Client(node));
     }
 
+    /** Waits until discovery has received this many watches for changes. */
     void awaitWatches(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (registry.server.asked.stream().filter(m -> m.start().contains("from=")).count() < count) {
-            assertTrue(System.nanoTime() < end, "no watch came");
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        while (registry.server.asked.stream().filter(message -> message.start().contains("from=")).count() < count) {
+            assertTrue(System.nanoTime() < deadline, "discovery received fewer than " + count + " watches");
             Thread.sleep(5);
         }
     }
