--- a/gateway/src/main/java/marlford/gateway/console/AdminCommands.java
+++ b/gateway/src/main/java/marlford/gateway/console/AdminCommands.java
@@ -1,19 +1,19 @@
 package marlford.gateway.console;
 
-/** What operators may ask of a gateway. All of it returns at once and may be called from any thread. */
+/** Commands of operators to a gateway. The methods do not block and may be called from any thread. */
 public interface AdminCommands {
-    /** Whether clients are served here: not before the listener is open, while emptied, or once an end was asked for. */
+    /** Returns whether clients are served: false until the listener is open, while quiesced, and once a shutdown was requested. */
     boolean ready();
 
-    /** Whether discovery lists this host, or it is left out already. */
+    /** Returns whether discovery lists this host. */
     boolean knows(String host);
 
-    /** Empties the gateway of clients until {@link #resume}; a second call changes nothing. */
+    /** Sends all clients away until {@link #resume}; a second call has no effect. */
     void quiesce();
 
-    /** Back to work. */
+    /** Serves clients again after {@link #quiesce}. */
     void resume();
 
-    /** The hosts left out are now others than before. */
+    /** The set of excluded hosts has changed. */
     void leftOutChanged();
 }
--- a/gateway/src/main/java/marlford/gateway/console/Console.java
+++ b/gateway/src/main/java/marlford/gateway/console/Console.java
@@ -34,52 +34,52 @@
 import marlford.gateway.accept.AcceptRetry;
 
 /**
- * Where operators call: HTTP/1.1, one call on a connection, 2xx for yes, 4xx or 5xx for no. It has an event loop of its
- * own and waits for no other, since an operator is owed an answer also while the loop that serves clients is late.
+ * HTTP/1.1 endpoint for operators: one request per connection, status 2xx on success and 4xx or 5xx otherwise. It has its
+ * own event loop and waits for no other, so that it also responds while the event loop that serves clients is stalled.
  *
- * <p>Bounds: {@value #CONNECTIONS_MAX} connections, of which the oldest that has not brought its call gives way to a
- * new one; {@value #CALL_MAX} bytes of a call's body; {@value #CALL_MS} ms for a call to come whole.
+ * <p>Limits: {@value #MAX_CONNECTIONS} connections, beyond which a new one evicts the oldest that has not sent its request
+ * yet; {@value #MAX_BODY_BYTES} bytes of a request's body; {@value #REQUEST_TIMEOUT_MS} ms for a request to arrive.
  */
 public final class Console {
-    private static final int CONNECTIONS_MAX = 24;
-    private static final int CALL_MAX = 4096;
-    private static final long CALL_MS = 5000;
-    private static final long LOOK_MS = 250; // how often the other process's word is looked for
+    private static final int MAX_CONNECTIONS = 24;
+    private static final int MAX_BODY_BYTES = 4096;
+    private static final long REQUEST_TIMEOUT_MS = 5000;
+    private static final long RELOAD_INTERVAL_MS = 250; // how often changes by the other process of an upgrade are read
     private static final int BACKLOG = 64;
 
     private final AdminCommands commands;
-    private final ServiceMetrics figures;
+    private final ServiceMetrics metrics;
     private final Map<String, Supplier<String>> pages;
     private final Consumer<String> log;
     private final ExcludedHosts excludedHosts;
-    private volatile Set<String> hosts; // those left out
-    private final LinkedHashSet<Channel> unheard = new LinkedHashSet<>(); // the oldest first
+    private volatile Set<String> currentHosts; // the excluded ones, for other threads
+    private final LinkedHashSet<Channel> awaitingRequest = new LinkedHashSet<>(); // without a complete request; the oldest first
     private int connections;
     private NioEventLoopGroup group;
     private Channel listener;
 
     /**
-     * @param pages what others show under a path of their own; each is asked on this console's loop
-     * @param folder where what operators said outlives the process; null for nowhere
-     * @param log takes one line for each call that changes something, and for each failure
+     * @param pages additional GET paths and what they return; the suppliers run on this console's event loop
+     * @param folder where the excluded hosts are stored across restarts; null to keep them in memory only
+     * @param log receives one line for each request that changes something and for each failure
      */
-    public Console(AdminCommands commands, ServiceMetrics figures, Map<String, Supplier<String>> pages, Path folder, Consumer<String> log)
+    public Console(AdminCommands commands, ServiceMetrics metrics, Map<String, Supplier<String>> pages, Path folder, Consumer<String> log)
             throws IOException {
         this.commands = commands;
-        this.figures = figures;
+        this.metrics = metrics;
         this.pages = Map.copyOf(pages);
         this.log = log;
         this.excludedHosts = new ExcludedHosts(folder, log);
-        this.hosts = excludedHosts.hosts();
+        this.currentHosts = excludedHosts.hosts();
     }
 
-    /** The hosts that operators left out; from any thread. */
+    /** Returns the hosts that operators have excluded. May be called from any thread. */
     public Set<String> leftOut() {
-        return hosts;
+        return currentHosts;
     }
 
-    /** Answers from its return on. */
-    public void listen(InetSocketAddress at) throws IOException {
+    /** Opens the listener; requests are answered once this has returned. */
+    public void listen(InetSocketAddress address) throws IOException {
         group = new NioEventLoopGroup(1);
         try {
             listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
@@ -88,101 +88,103 @@
                     .childHandler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel ch) {
-                            ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(CALL_MAX, true),
-                                    new Call());
+                            ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES, true),
+                                    new RequestHandler());
                         }
-                    }).bind(at).sync().channel();
+                    }).bind(address).sync().channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
-        } catch (Exception e) { // netty throws what failed as it is, checked or not
+        } catch (Exception e) { // Netty rethrows the failure as it is, checked or not
             close();
-            throw new IOException("no console at " + at + ": " + e.getMessage(), e);
+            throw new IOException("cannot open the console at " + address + ": " + e.getMessage(), e);
         }
-        group.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        group.scheduleWithFixedDelay(this::reload, RELOAD_INTERVAL_MS, RELOAD_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** The address it answers at, where the port was left to the system. */
+    /** Returns the address of the listener, with the actual port if the system has assigned it. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Ends it; answers that are on their way are not waited for. */
+    /** Closes the listener and all connections without waiting for pending responses. */
     public void close() {
         if (group != null) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    private void look() {
+    /** Applies changes that the other process of an upgrade has stored. */
+    private void reload() {
         try {
-            if (excludedHosts.look()) {
-                changed("as the other process was told");
+            if (excludedHosts.reload()) {
+                onExclusionChanged("as changed by the other process");
             }
         } catch (IOException | RuntimeException e) {
-            log.accept("console: can't read which hosts are left out: " + e);
+            log.accept("console: cannot read the excluded hosts, keeping the current ones; check the folder: " + e);
         }
     }
 
-    private void changed(String why) {
-        hosts = excludedHosts.hosts();
-        log.accept("console: left out: " + hosts + ", " + why);
+    private void onExclusionChanged(String reason) {
+        currentHosts = excludedHosts.hosts();
+        log.accept("console: excluded hosts: " + currentHosts + ", " + reason);
         commands.leftOutChanged();
     }
 
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles one connection. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private Future<?> timeout;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (connections >= CONNECTIONS_MAX) {
-                Channel oldest = unheard.isEmpty() ? ctx.channel() : unheard.iterator().next();
-                unheard.remove(oldest);
+            if (connections >= MAX_CONNECTIONS) {
+                Channel oldest = awaitingRequest.isEmpty() ? ctx.channel() : awaitingRequest.iterator().next();
+                awaitingRequest.remove(oldest);
                 oldest.close();
             }
             connections++;
             if (ctx.channel().isActive()) {
-                unheard.add(ctx.channel());
-                timeout = ctx.executor().schedule(() -> ctx.close(), CALL_MS, TimeUnit.MILLISECONDS);
+                awaitingRequest.add(ctx.channel());
+                timeout = ctx.executor().schedule(() -> ctx.close(), REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections--;
-            unheard.remove(ctx.channel());
+            awaitingRequest.remove(ctx.channel());
             if (timeout != null) {
                 timeout.cancel(false);
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-            unheard.remove(ctx.channel());
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+            awaitingRequest.remove(ctx.channel());
             HttpResponseStatus status = HttpResponseStatus.BAD_REQUEST;
             String text = "";
-            if (call.decoderResult().isSuccess()) {
-                boolean reads = call.method().equals(HttpMethod.GET);
-                boolean acts = call.method().equals(HttpMethod.POST);
-                if (reads && call.uri().equals("/admin/stats")) {
+            if (request.decoderResult().isSuccess()) {
+                boolean isGet = request.method().equals(HttpMethod.GET);
+                boolean isPost = request.method().equals(HttpMethod.POST);
+                if (isGet && request.uri().equals("/admin/stats")) {
                     status = HttpResponseStatus.OK;
-                    text = figures.text();
-                } else if (reads && call.uri().equals("/admin/health")) {
+                    text = metrics.text();
+                } else if (isGet && request.uri().equals("/admin/health")) {
                     status = commands.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-                } else if (reads && pages.containsKey(call.uri())) {
+                } else if (isGet && pages.containsKey(request.uri())) {
                     status = HttpResponseStatus.OK;
-                    text = pages.get(call.uri()).get();
+                    text = pages.get(request.uri()).get();
                 } else {
-                    status = acts ? act(call.uri(), call.content().toString(StandardCharsets.UTF_8).trim())
+                    status = isPost ? execute(request.uri(), request.content().toString(StandardCharsets.UTF_8).trim())
                             : HttpResponseStatus.NOT_FOUND;
                 }
             }
             ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), text);
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
                     .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-            ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+            ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
@@ -191,31 +193,31 @@
         }
     }
 
-    private HttpResponseStatus act(String path, String host) {
+    private HttpResponseStatus execute(String path, String host) {
         try {
             switch (path) {
                 case "/admin/cordon" -> {
-                    if (!known(host)) {
+                    if (!isKnownHost(host)) {
                         return HttpResponseStatus.NOT_FOUND;
                     }
                     if (!excludedHosts.add(host)) {
                         return HttpResponseStatus.INSUFFICIENT_STORAGE;
                     }
-                    changed("with " + host);
+                    onExclusionChanged("after cordon of " + host);
                 }
                 case "/admin/uncordon" -> {
-                    if (!known(host)) {
+                    if (!isKnownHost(host)) {
                         return HttpResponseStatus.NOT_FOUND;
                     }
                     excludedHosts.remove(host);
-                    changed("without " + host);
+                    onExclusionChanged("after uncordon of " + host);
                 }
                 case "/admin/quiesce" -> {
-                    log.accept("console: clients are sent away");
+                    log.accept("console: quiesce: sending clients away");
                     commands.quiesce();
                 }
                 case "/admin/resume" -> {
-                    log.accept("console: back to work");
+                    log.accept("console: resume: serving clients again");
                     commands.resume();
                 }
                 default -> {
@@ -224,12 +226,12 @@
             }
             return HttpResponseStatus.OK;
         } catch (IOException | RuntimeException e) {
-            log.accept("console: " + path + " " + host + ": " + e);
+            log.accept("console: command " + path + " " + host + " failed: " + e);
             return HttpResponseStatus.INTERNAL_SERVER_ERROR;
         }
     }
 
-    private boolean known(String host) {
-        return !host.isEmpty() && (commands.knows(host) || hosts.contains(host));
+    private boolean isKnownHost(String host) {
+        return !host.isEmpty() && (commands.knows(host) || currentHosts.contains(host));
     }
 }
--- a/gateway/src/main/java/marlford/gateway/console/ExcludedHosts.java
+++ b/gateway/src/main/java/marlford/gateway/console/ExcludedHosts.java
@@ -13,57 +13,67 @@
 import java.util.function.Consumer;
 
 /**
- * The hosts that operators left out, each an empty file of a folder, so that they outlive the process and both
- * processes of an upgrade go by the same ones. Without a folder they are kept in memory alone.
+ * The hosts that operators have excluded. Each is stored as an empty file in a folder, so that the set survives a restart and
+ * both processes of an upgrade use the same one. Without a folder the set is kept in memory only.
  *
- * <p>A folder that fails keeps no process from its start: it is looked at again until it can be read, and no host is left out, or taken
- * back, that it can't keep.
+ * <p>A folder that cannot be read does not prevent a start; it is read again later. A change that cannot be stored is not
+ * applied.
  *
- * <p>Bound: {@value #MAX} hosts; one more is not taken, and the operator is told so. Not thread-safe.
+ * <p>Limit: {@value #MAX_HOSTS} hosts; one more is rejected, which the operator sees. Not thread-safe.
  */
 final class ExcludedHosts {
-    static final int MAX = 1024; // hosts
-    private static final int NAME_MAX = 180; // bytes of an id: its file's name is a third longer, and 255 at most
+    static final int MAX_HOSTS = 1024;
+    private static final int MAX_ID_BYTES = 180; // the Base64 file name is a third longer, and limited to 255 bytes
 
-    private final Path folder; // null: memory alone
+    private final Path folder; // null to keep the set in memory only
     private Set<String> hosts = new TreeSet<>();
 
     /**
-     * Starts with the hosts of the folder, which need not exist yet.
+     * Reads the hosts from the folder, which need not exist yet.
      *
-     * @param log takes one line where the folder can't be read
+     * @param log receives one line if the folder cannot be read
      */
     ExcludedHosts(Path folder, Consumer<String> log) {
         this.folder = folder;
         try {
-            look();
+            reload();
         } catch (IOException e) {
-            log.accept("console: can't read yet which hosts are left out: " + e);
+            log.accept("console: cannot read the excluded hosts yet, starting without any and retrying; check the folder: " + e);
         }
     }
 
+    /** Returns a copy of the set. */
     Set<String> hosts() {
         return Set.copyOf(hosts);
     }
 
-    /** Leaves a host out; false where there is no room for it. */
+    /**
+     * Excludes a host. Returns false if the limit is reached or the id is too long.
+     *
+     * @throws IOException if it cannot be stored; the set is unchanged then
+     */
     boolean add(String host) throws IOException {
         if (hosts.contains(host)) {
             return true;
         }
-        if (hosts.size() >= MAX || host.getBytes(StandardCharsets.UTF_8).length > NAME_MAX) {
+        if (hosts.size() >= MAX_HOSTS || host.getBytes(StandardCharsets.UTF_8).length > MAX_ID_BYTES) {
             return false;
         }
         if (folder != null) {
             try {
                 Files.createFile(file(host));
             } catch (FileAlreadyExistsException e) {
-                // the other process was told so, too
+                // the other process has excluded it as well
             }
         }
         return hosts.add(host);
     }
 
+    /**
+     * Includes a host again; no effect if it is not excluded.
+     *
+     * @throws IOException if its file cannot be deleted; the set is unchanged then
+     */
     void remove(String host) throws IOException {
         if (folder != null && hosts.contains(host)) {
             Files.deleteIfExists(file(host));
@@ -71,25 +81,25 @@
         hosts.remove(host);
     }
 
-    /** Takes over what another process was told; whether that changed anything. */
-    boolean look() throws IOException {
+    /** Reads the folder again, to apply changes by another process. Returns whether the set has changed. */
+    boolean reload() throws IOException {
         if (folder == null) {
             return false;
         }
         Files.createDirectories(folder);
-        Set<String> found = new TreeSet<>();
+        Set<String> stored = new TreeSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
             for (Path file : files) {
-                String host = host(file.getFileName().toString());
-                if (host != null && found.size() < MAX) {
-                    found.add(host);
+                String host = hostId(file.getFileName().toString());
+                if (host != null && stored.size() < MAX_HOSTS) {
+                    stored.add(host);
                 }
             }
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        boolean changed = !found.equals(hosts);
-        hosts = found;
+        boolean changed = !stored.equals(hosts);
+        hosts = stored;
         return changed;
     }
 
@@ -98,11 +108,12 @@
                 .encodeToString(host.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static String host(String name) {
+    /** Returns the host id that a file name encodes; null if it is not valid Base64. */
+    private static String hostId(String fileName) {
         try {
-            return new String(Base64.getUrlDecoder().decode(name), StandardCharsets.UTF_8);
+            return new String(Base64.getUrlDecoder().decode(fileName), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            return null; // not a file of ours
+            return null; // the file is not one of this class
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/console/ServiceMetrics.java
+++ b/gateway/src/main/java/marlford/gateway/console/ServiceMetrics.java
@@ -5,82 +5,88 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * What a gateway has done since its start, counted by one event loop and read by any thread. A reader sees each count
- * as it was a moment ago; two counts that one event changes need not be of the same moment.
+ * Counters and gauges of a gateway since its start, written by one event loop and read by any thread. A reader sees recent
+ * values; two values that one event changes need not be consistent with each other.
  */
 public final class ServiceMetrics {
-    /** How a request ended. */
+    /** The result of a request: answered, refused (deferred to a later time), or failed. */
     public enum End { ANSWERED, DEFERRED, ERRORED }
 
     private static final String PREFIX = "svc.";
-    private static final int ENDS = End.values().length;
+    private static final int RESULT_COUNT = End.values().length;
 
     private final List<String> classes;
-    private final AtomicLongArray ends;
-    private final AtomicLongArray plain = new AtomicLongArray(Plain.values().length);
+    private final AtomicLongArray resultCounts;
+    private final AtomicLongArray plainValues = new AtomicLongArray(Plain.values().length);
 
-    /** Figures that belong to no class. */
+    /** Metrics that are not kept per class of requests. */
     private enum Plain { SENDS, CURRENT, CLUSTER_SIZE, CLUSTER_UNHEALTHY }
 
     /** @param classes the names of the classes of requests */
     public ServiceMetrics(List<String> classes) {
         this.classes = List.copyOf(classes);
-        this.ends = new AtomicLongArray(classes.size() * ENDS);
+        this.resultCounts = new AtomicLongArray(classes.size() * RESULT_COUNT);
     }
 
-    /** A request was taken: it is current until its {@link #closed end}. */
+    /** A request was accepted; it counts as current until it is {@link #closed}. */
     public void taken() {
         add(Plain.CURRENT, 1);
     }
 
-    /** A request that was taken is owed nothing any more: answered, or its client has gone. */
+    /** An accepted request needs no response any more: it was answered, or its client has disconnected. */
     public void closed() {
         add(Plain.CURRENT, -1);
     }
 
-    /** A request of a class got its final answer; a class that is not known counts nowhere. */
-    public void ended(String requestClass, End how) {
-        int at = classes.indexOf(requestClass); // a handful of names
-        if (at >= 0) {
-            int cell = at * ENDS + how.ordinal();
-            ends.lazySet(cell, ends.get(cell) + 1);
+    /** A request got its final response. Unknown classes are not counted. */
+    public void ended(String requestClass, End result) {
+        int classIndex = classes.indexOf(requestClass); // linear search: there are only a few classes
+        if (classIndex >= 0) {
+            int index = classIndex * RESULT_COUNT + result.ordinal();
+            resultCounts.lazySet(index, resultCounts.get(index) + 1);
         }
     }
 
-    /** An attempt has left whole for a host. */
+    /** The last byte of an attempt's request was written to a host. */
     public void sent() {
         add(Plain.SENDS, 1);
     }
 
-    /** The hosts of the list, and those of them that get nothing now, by hand or by choice. */
+    /**
+     * Sets the gauges of hosts.
+     *
+     * @param size number of hosts on the list
+     * @param avoided number of those that get no requests now, excluded by operators or avoided by the decision engine
+     */
     public void cluster(int size, int avoided) {
-        plain.lazySet(Plain.CLUSTER_SIZE.ordinal(), size);
-        plain.lazySet(Plain.CLUSTER_UNHEALTHY.ordinal(), avoided);
+        plainValues.lazySet(Plain.CLUSTER_SIZE.ordinal(), size);
+        plainValues.lazySet(Plain.CLUSTER_UNHEALTHY.ordinal(), avoided);
     }
 
-    private void add(Plain figure, long by) { // one writer, so no more than a plain store is needed
-        plain.lazySet(figure.ordinal(), plain.get(figure.ordinal()) + by);
+    private void add(Plain metric, long delta) { // a single writer needs no atomic update
+        plainValues.lazySet(metric.ordinal(), plainValues.get(metric.ordinal()) + delta);
     }
 
-    /** One line {@code name=value} for each figure. */
+    /** Returns one line {@code name=value} for each metric. */
     public String text() {
         StringBuilder text = new StringBuilder();
-        for (int c = 0; c < classes.size(); c++) {
-            for (End how : End.values()) {
-                line(text, lower(how) + '.' + classes.get(c), ends.get(c * ENDS + how.ordinal()));
+        for (int classIndex = 0; classIndex < classes.size(); classIndex++) {
+            for (End result : End.values()) {
+                appendLine(text, lowerCaseName(result) + '.' + classes.get(classIndex),
+                        resultCounts.get(classIndex * RESULT_COUNT + result.ordinal()));
             }
         }
-        for (Plain figure : Plain.values()) {
-            line(text, lower(figure), plain.get(figure.ordinal()));
+        for (Plain metric : Plain.values()) {
+            appendLine(text, lowerCaseName(metric), plainValues.get(metric.ordinal()));
         }
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append('=').append(value).append('\n');
     }
 
-    private static String lower(Enum<?> figure) {
-        return figure.name().toLowerCase(Locale.ROOT);
+    private static String lowerCaseName(Enum<?> metric) {
+        return metric.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/upgrade/HandoverChannel.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/HandoverChannel.java
@@ -12,16 +12,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lines between the two processes of an upgrade. One thread may say and wait; a thread of this class reads, so that a
- * wait can end by time. A line that is too long, or one more than is ever outstanding, ends the connection.
+ * Exchanges lines with the other process of an upgrade. One thread may send and receive; a separate thread reads the socket, so
+ * that a receive can time out. A line that is too long ends the connection, as do an empty line and more queued lines than the
+ * protocol ever has outstanding.
  */
 final class HandoverChannel implements Closeable {
-    private static final int LINE_MAX = 256; // characters
-    private static final int AHEAD_MAX = 8; // lines not yet asked for
-    private static final String END = ""; // never a line of the protocol
+    private static final int MAX_LINE_CHARS = 256;
+    private static final int MAX_QUEUED_LINES = 8; // received and not yet taken
+    private static final String END_OF_STREAM = ""; // never a line of the protocol
 
     private final SocketChannel channel;
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(AHEAD_MAX);
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private volatile boolean ended;
 
     HandoverChannel(SocketChannel channel) {
@@ -31,32 +32,33 @@
         reader.start();
     }
 
-    void say(String line) throws IOException {
+    /** Sends a line; blocks until the socket has accepted it. */
+    void send(String line) throws IOException {
         ByteBuffer bytes = StandardCharsets.US_ASCII.encode(line + '\n');
         while (bytes.hasRemaining()) {
             channel.write(bytes);
         }
     }
 
-    /** The next line; null where none came within this time, or none will come. */
-    String next(long ms) throws InterruptedException {
-        String line = lines.poll(ms, TimeUnit.MILLISECONDS);
-        if (line == END) { // the very object, for whoever asks next, too
-            lines.offer(END);
+    /** Waits for the next line. Returns null if none arrives within the timeout or the connection has ended. */
+    String receive(long timeoutMs) throws InterruptedException {
+        String line = lines.poll(timeoutMs, TimeUnit.MILLISECONDS);
+        if (line == END_OF_STREAM) { // compared by identity; put back for later calls
+            lines.offer(END_OF_STREAM);
             return null;
         }
         return line;
     }
 
-    /** Whether the other side is known to be gone. */
-    boolean ended() {
+    /** Returns whether the connection is known to have ended. May be called from any thread. */
+    boolean isEnded() {
         return ended;
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(Channels.newReader(channel, StandardCharsets.US_ASCII), LINE_MAX)) {
+        try (BufferedReader in = new BufferedReader(Channels.newReader(channel, StandardCharsets.US_ASCII), MAX_LINE_CHARS)) {
             StringBuilder line = new StringBuilder();
-            for (int c = in.read(); c >= 0 && line.length() <= LINE_MAX; c = in.read()) {
+            for (int c = in.read(); c >= 0 && line.length() <= MAX_LINE_CHARS; c = in.read()) {
                 if (c != '\n') {
                     line.append((char) c);
                 } else if (line.length() == 0 || !lines.offer(line.toString())) {
@@ -66,11 +68,11 @@
                 }
             }
         } catch (IOException e) {
-            // ended, which is all that there is to tell
+            // the connection has ended, which is reported below
         }
         ended = true;
-        while (!lines.offer(END)) {
-            lines.poll(); // nobody will act on the lines of one that is gone
+        while (!lines.offer(END_OF_STREAM)) {
+            lines.poll(); // discard queued lines: the process that sent them is gone
         }
     }
 
--- a/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
@@ -11,29 +11,30 @@
 import java.util.concurrent.TimeUnit;
 import marlford.gateway.accept.Backoff;
 
-/** The new process's side of an upgrade: what it asks of the one that serves. For one thread. */
+/** The new process's side of an upgrade: its requests to the process that serves. Not thread-safe. */
 public final class Predecessor implements Closeable {
-    private static final long SHORTEST_PAUSE_MS = 5; // between tries to connect
-    private static final long LONGEST_PAUSE_MS = 100;
+    private static final long MIN_CONNECT_RETRY_DELAY_MS = 5;
+    private static final long MAX_CONNECT_RETRY_DELAY_MS = 100;
 
-    private final HandoverChannel wire;
-    private boolean away;
+    private final HandoverChannel handover;
+    private boolean quiesced; // the other process was sending its clients away
 
-    private Predecessor(HandoverChannel wire) {
-        this.wire = wire;
+    private Predecessor(HandoverChannel handover) {
+        this.handover = handover;
     }
 
     /**
-     * The process that serves, as far as one answers at this path; else null.
+     * Returns the process that serves, or null if none answers at this path.
      *
-     * @param waitMs how long its answer may take: its loop may be late
-     * @throws IOException where one answers that this program can't take over from: nothing has happened there
+     * @param waitMs how long its answer may take; the process may be busy
+     * @throws IOException if a process answers that this version cannot take over from, or one does not answer in time; the other
+     *     process is not affected
      */
     public static Predecessor find(Path path, long waitMs) throws IOException, InterruptedException {
         return find(path, waitMs, SocketChannel::open);
     }
 
-    /** Connects to an address. */
+    /** Opens a connection to an address; replaced by tests. */
     interface Connector {
         SocketChannel connect(SocketAddress address) throws IOException;
     }
@@ -42,41 +43,44 @@
         if (!Files.exists(path)) {
             return null;
         }
-        SocketChannel channel = connected(path, waitMs, connector);
+        SocketChannel channel = connectTo(path, waitMs, connector);
         if (channel == null) {
-            return null; // left behind by a process that is gone
+            return null; // the socket file of a process that has ended
         }
-        HandoverChannel wire = new HandoverChannel(channel);
+        HandoverChannel handover = new HandoverChannel(channel);
         try {
-            wire.say(Successor.HELLO);
+            handover.send(Successor.VERSION_LINE);
         } catch (IOException e) {
-            wire.close();
+            handover.close();
             return null;
         }
-        String hello = wire.next(waitMs);
-        if (Successor.HELLO.equals(hello)) {
-            return new Predecessor(wire);
+        String reply = handover.receive(waitMs);
+        if (Successor.VERSION_LINE.equals(reply)) {
+            return new Predecessor(handover);
         }
-        boolean gone = wire.ended() && hello == null;
-        wire.close();
+        boolean gone = handover.isEnded() && reply == null;
+        handover.close();
         if (gone) {
             return null;
         }
-        throw new IOException("can't take over from the running process: "
-                + (hello == null ? "no answer within " + waitMs + " ms" : hello));
+        throw new IOException("cannot take over from the running process: "
+                + (reply == null ? "it did not answer within " + waitMs + " ms" : reply));
     }
 
-    /** Null where nobody listens there; a machine that has no socket for a moment is no word on that. */
-    private static SocketChannel connected(Path path, long waitMs, Connector connector) throws InterruptedException {
-        Backoff backoff = new Backoff(SHORTEST_PAUSE_MS, LONGEST_PAUSE_MS);
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
+    /**
+     * Connects to the socket at a path; null if no process listens there. Other failures, such as a lack of descriptors on
+     * this machine, do not prove that; they are retried for {@code waitMs}.
+     */
+    private static SocketChannel connectTo(Path path, long waitMs, Connector connector) throws InterruptedException {
+        Backoff backoff = new Backoff(MIN_CONNECT_RETRY_DELAY_MS, MAX_CONNECT_RETRY_DELAY_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
         while (true) {
             try {
                 return connector.connect(UnixDomainSocketAddress.of(path));
             } catch (ConnectException e) {
                 return null;
             } catch (IOException e) {
-                if (System.nanoTime() > end) {
+                if (System.nanoTime() > deadline) {
                     return null;
                 }
             }
@@ -85,51 +89,55 @@
     }
 
     /**
-     * Asks for the place; from its return on peers and quotas are this process's.
+     * Takes over from the other process: once this returns true, this process communicates with the peers and accounts for
+     * the quotas.
      *
-     * @param waitMs how long the other process may take to let go
-     * @return false where the other process has ended by itself meanwhile
-     * @throws IOException where it lives and does not let go
+     * @param waitMs how long the other process may take to hand over
+     * @return false if the other process has ended meanwhile
+     * @throws IOException if it is running and does not hand over
      */
     public boolean take(long waitMs) throws IOException, InterruptedException {
         try {
-            wire.say(Successor.TAKE);
+            handover.send(Successor.TAKE);
         } catch (IOException e) {
             return false;
         }
-        String answer = wire.next(waitMs);
-        if (answer == null && wire.ended()) {
+        String answer = handover.receive(waitMs);
+        if (answer == null && handover.isEnded()) {
             return false;
         }
-        away = Successor.AWAY.equals(answer);
-        if (!away && !Successor.TAKEN.equals(answer)) {
-            throw new IOException("the running process does not let go: " + answer);
+        quiesced = Successor.TAKEN_AWAY.equals(answer);
+        if (!quiesced && !Successor.TAKEN.equals(answer)) {
+            throw new IOException("the running process did not hand over; its answer: " + answer);
         }
         return true;
     }
 
-    /** Whether the other process was sending its clients away. */
+    /** Returns whether the other process was sending its clients away when it handed over. */
     public boolean away() {
-        return away;
+        return quiesced;
     }
 
     /**
-     * This process accepts clients. Returns whether the other one no longer does, or is gone.
+     * Reports that this process accepts clients. Returns whether the other process has stopped to do so or has ended.
      *
-     * @param waitMs how long it may take to accept what stands in its queue
+     * @param waitMs how long the other process may take to accept the connections in its queue
      */
     public boolean serving(long waitMs) throws InterruptedException {
         try {
-            wire.say(Successor.SERVING);
+            handover.send(Successor.SERVING);
         } catch (IOException e) {
             return true;
         }
-        return Successor.LEFT.equals(wire.next(waitMs)) || wire.ended();
+        return Successor.LEFT.equals(handover.receive(waitMs)) || handover.isEnded();
     }
 
-    /** Tells the other process that this one is gone; while this one serves, it stays open until the process ends. */
+    /**
+     * Signals the other process that this one has ended. While this process serves, the connection stays open until the process
+     * ends.
+     */
     @Override
     public void close() throws IOException {
-        wire.close();
+        handover.close();
     }
 }
--- a/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
@@ -12,64 +12,73 @@
 import marlford.gateway.accept.Backoff;
 
 /**
- * The running process's side of an upgrade: it waits for the process that is to take its place, one at a time, and
- * does what that asks. Docs/design/upgrade.md has the steps. Where the other process ends before it has served for
- * {@value #PROBATION_MS} ms, the place is taken back.
+ * The running process's side of an upgrade: it waits for a new process that is to replace it, one at a time, and carries out
+ * its requests. The steps are described in docs/design/upgrade.md. If the new process ends before it has served for
+ * {@value #PROBATION_MS} ms, this process serves again.
  */
 public final class Successor implements Closeable {
-    static final String HELLO = "marlford-upgrade 1";
+    static final String VERSION_LINE = "marlford-upgrade 1";
     static final String TAKE = "take";
     static final String TAKEN = "taken";
-    static final String AWAY = "taken away"; // and clients are being sent away here
+    static final String TAKEN_AWAY = "taken away"; // handed over while this process was sending its clients away
     static final String SERVING = "serving";
     static final String LEFT = "left";
 
-    private static final long WARM_MS = 120_000; // a start on a slow machine; nothing is held up meanwhile
-    private static final long SHORTEST_PAUSE_MS = 10; // between tries of a socket that fails
-    private static final long LONGEST_PAUSE_MS = 1000;
-    private static final long SERVING_MS = 10_000; // from taken to serving: no message from peers is heard meanwhile
+    private static final long WARM_UP_TIMEOUT_MS = 120_000; // allows for a start on a slow machine; this process serves meanwhile
+    private static final long MIN_RETRY_DELAY_MS = 10; // while the socket fails
+    private static final long MAX_RETRY_DELAY_MS = 1000;
+    private static final long SERVING_TIMEOUT_MS = 10_000; // from taken to serving; no messages from peers are received meanwhile
+    /** How long the new process has to serve before this one ends. */
     static final long PROBATION_MS = 10_000;
 
-    /** The place that changes hands. Called on one thread, in this order; each returns once it is done. */
+    /** What the running process does at the steps of an upgrade. Called on one thread, in this order; each call blocks until done. */
     public interface Place {
-        /** The other process speaks to peers from now on, and what fills, fills there. Returns whether clients are sent away. */
+        /**
+         * Hands the communication with peers and the accounting of quotas over to the new process. Returns whether this
+         * process is sending its clients away.
+         */
         boolean release() throws InterruptedException;
 
-        /** The other process accepts clients: none are accepted here. */
+        /** Stops accepting clients, as the new process accepts them. */
         void leave() throws InterruptedException;
 
-        /** The other process is gone: all is as before {@link #release}, but for what filled since. */
+        /** The new process has ended: restores the state before {@link #release}, except for quota that has refilled since. */
         void takeBack() throws InterruptedException;
 
-        /** The other process has proved itself; this one may end. */
+        /** The new process has served for long enough; this process may end. */
         void end();
     }
 
     private final Path path;
-    private final Place place;
+    private final Place servingProcess;
     private final Consumer<String> log;
     private final long probationMs;
     private ServerSocketChannel listener;
     private volatile boolean closed;
 
-    /** @param path of the socket; a file that is there is replaced */
-    public Successor(Path path, Place place, Consumer<String> log) {
-        this(path, place, log, PROBATION_MS);
+    /**
+     * Creates the running process's side; {@link #open} starts it.
+     *
+     * @param path of the socket; an existing file is replaced
+     * @param log receives one line for each step and for each failure
+     */
+    public Successor(Path path, Place servingProcess, Consumer<String> log) {
+        this(path, servingProcess, log, PROBATION_MS);
     }
 
-    Successor(Path path, Place place, Consumer<String> log, long probationMs) {
+    Successor(Path path, Place servingProcess, Consumer<String> log, long probationMs) {
         this.probationMs = probationMs;
         this.path = path;
-        this.place = place;
+        this.servingProcess = servingProcess;
         this.log = log;
     }
 
-    /** Waits for a successor from now on, on a thread of its own; where there can be no socket yet, from when there can. */
+    /** Starts to wait for a new process, on a separate thread. A socket that cannot be opened yet is retried there. */
     public void open() {
         try {
             bind();
         } catch (IOException e) {
-            log.accept("upgrade: no successor is heard yet: " + e);
+            log.accept("upgrade: cannot listen for a new process yet, retrying; check the folder of the socket: " + e);
         }
         Thread thread = new Thread(this::serve, "successor");
         thread.setDaemon(true);
@@ -98,17 +107,17 @@
     }
 
     private void serve() {
-        Backoff backoff = new Backoff(SHORTEST_PAUSE_MS, LONGEST_PAUSE_MS);
+        Backoff backoff = new Backoff(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
         try {
             while (!closed) {
                 try {
                     if (!isBound()) {
                         bind();
                     }
-                    serveNext(backoff);
-                } catch (IOException | RuntimeException e) { // the next one is to be heard all the same
+                    acceptNext(backoff);
+                } catch (IOException | RuntimeException e) { // a failure must not prevent a later upgrade
                     if (!closed) {
-                        log.accept("upgrade: " + e);
+                        log.accept("upgrade: serving a new process failed, listening again: " + e);
                         Thread.sleep(backoff.nextMs());
                     }
                 }
@@ -118,47 +127,47 @@
         }
     }
 
-    private void serveNext(Backoff backoff) throws IOException, InterruptedException {
-        try (SocketChannel channel = listener.accept(); HandoverChannel wire = new HandoverChannel(channel)) {
+    private void acceptNext(Backoff backoff) throws IOException, InterruptedException {
+        try (SocketChannel channel = listener.accept(); HandoverChannel handover = new HandoverChannel(channel)) {
             backoff.reset();
-            if (!closed) { // a close that met the accepting half way lets one more through
-                serve(wire);
+            if (!closed) { // a close during the accept may let one more connection through
+                serve(handover);
             }
         }
     }
 
-    private void serve(HandoverChannel wire) throws IOException, InterruptedException {
-        String hello = wire.next(SERVING_MS);
-        if (!HELLO.equals(hello)) {
-            wire.say("no: this is " + HELLO);
+    private void serve(HandoverChannel handover) throws IOException, InterruptedException {
+        String versionLine = handover.receive(SERVING_TIMEOUT_MS);
+        if (!VERSION_LINE.equals(versionLine)) {
+            handover.send("no: this is " + VERSION_LINE);
             return;
         }
-        wire.say(HELLO);
-        if (!TAKE.equals(wire.next(WARM_MS))) {
-            log.accept("upgrade: the new process ended before it took over");
+        handover.send(VERSION_LINE);
+        if (!TAKE.equals(handover.receive(WARM_UP_TIMEOUT_MS))) {
+            log.accept("upgrade: the new process ended before it took over, or took too long; this process continues to serve");
             return;
         }
-        boolean away = place.release();
-        boolean left = false;
+        boolean quiesced = servingProcess.release();
+        boolean stoppedAccepting = false;
         try {
-            wire.say(away ? AWAY : TAKEN);
-            if (SERVING.equals(wire.next(SERVING_MS))) {
-                place.leave();
-                left = true;
-                wire.say(LEFT);
+            handover.send(quiesced ? TAKEN_AWAY : TAKEN);
+            if (SERVING.equals(handover.receive(SERVING_TIMEOUT_MS))) {
+                servingProcess.leave();
+                stoppedAccepting = true;
+                handover.send(LEFT);
                 log.accept("upgrade: the new process serves");
-                wire.next(probationMs); // it has nothing more to say: its end, or the time
+                handover.receive(probationMs); // no line follows: returns when the new process ends or after the probation time
             }
         } catch (IOException e) {
-            log.accept("upgrade: " + e);
+            log.accept("upgrade: connection to the new process failed: " + e);
         }
-        if (left && !wire.ended()) {
-            place.end();
+        if (stoppedAccepting && !handover.isEnded()) {
+            servingProcess.end();
         } else {
-            log.accept("upgrade: the new process " + (left ? "is gone" : "did not come to serve")
-                    + ", the place is taken back");
-            place.takeBack();
-            bind(); // the other may have had the path
+            log.accept("upgrade: the new process " + (stoppedAccepting ? "has ended" : "did not come to serve")
+                    + ", the place is taken back; this process continues to serve");
+            servingProcess.takeBack();
+            bind(); // the new process may have replaced the socket file
         }
     }
 
@@ -166,7 +175,7 @@
     public synchronized void close() throws IOException {
         closed = true;
         if (listener != null) {
-            listener.close(); // the file stays: it may be a successor's
+            listener.close(); // the file is not deleted: it may be that of the new process
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/console/ExcludedHostsTest.java
+++ b/gateway/src/test/java/marlford/gateway/console/ExcludedHostsTest.java
@@ -14,76 +14,79 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which hosts are left out, across lives and between two processes. */
+/** The set of excluded hosts across restarts and between the two processes of an upgrade. */
 class ExcludedHostsTest {
     @TempDir
     private Path dir;
 
     @Test
-    void bothProcessesOfAnUpgradeGoByEitherOnesWord() throws IOException {
-        ExcludedHosts before = new ExcludedHosts(dir.resolve("f"), line -> { });
-        assertTrue(before.add("s-1/..\u00e9"));
-        ExcludedHosts after = new ExcludedHosts(dir.resolve("f"), line -> { });
-        assertEquals(Set.of("s-1/..\u00e9"), after.hosts());
-        assertTrue(after.add("s-1/..\u00e9"));
-        assertTrue(after.add("s-2"));
-        assertTrue(before.look());
-        assertEquals(Set.of("s-1/..\u00e9", "s-2"), before.hosts());
-        assertFalse(before.look());
-        before.remove("s-1/..\u00e9"); // one call back, however many there were
-        assertTrue(after.look());
-        assertEquals(Set.of("s-2"), after.hosts());
-        after.remove("s-2");
-        after.remove("s-2");
+    void changesByEitherProcessOfAnUpgradeApplyToBoth() throws IOException {
+        ExcludedHosts runningProcess = new ExcludedHosts(dir.resolve("f"), line -> { });
+        assertTrue(runningProcess.add("s-1/..\u00e9"));
+        ExcludedHosts newProcess = new ExcludedHosts(dir.resolve("f"), line -> { });
+        assertEquals(Set.of("s-1/..\u00e9"), newProcess.hosts());
+        assertTrue(newProcess.add("s-1/..\u00e9"));
+        assertTrue(newProcess.add("s-2"));
+        assertTrue(runningProcess.reload());
+        assertEquals(Set.of("s-1/..\u00e9", "s-2"), runningProcess.hosts());
+        assertFalse(runningProcess.reload());
+        runningProcess.remove("s-1/..\u00e9"); // one removal suffices, however often the host was added
+        assertTrue(newProcess.reload());
+        assertEquals(Set.of("s-2"), newProcess.hosts());
+        newProcess.remove("s-2");
+        newProcess.remove("s-2");
         assertEquals(Set.of(), new ExcludedHosts(dir.resolve("f"), line -> { }).hosts());
     }
 
-    /** The two are told the same within a moment of each other: neither sees the other's file in time. */
+    /** Both processes get the same change almost at once, before either has read the other's file. */
     @Test
-    void aHostThatTheOtherProcessLeftOutMeanwhileIsNoFault() throws IOException {
-        ExcludedHosts one = new ExcludedHosts(dir, line -> { });
-        ExcludedHosts other = new ExcludedHosts(dir, line -> { });
-        assertTrue(one.add("h"));
-        assertTrue(other.add("h"));
-        one.remove("h");
-        other.remove("h");
-        assertFalse(one.look());
+    void concurrentChangesOfTheSameHostDoNotFail() throws IOException {
+        ExcludedHosts first = new ExcludedHosts(dir, line -> { });
+        ExcludedHosts second = new ExcludedHosts(dir, line -> { });
+        assertTrue(first.add("h"));
+        assertTrue(second.add("h"));
+        first.remove("h");
+        second.remove("h");
+        assertFalse(first.reload());
     }
 
     @Test
-    void filesOfOthersAreNoHosts() throws IOException {
+    void filesThatEncodeNoHostAreIgnored() throws IOException {
         Files.createFile(dir.resolve("not*base64"));
         assertEquals(Set.of(), new ExcludedHosts(dir, line -> { }).hosts());
     }
 
     @Test
-    void thereIsRoomForSoManyAndTheNextIsRefused() throws IOException {
-        ExcludedHosts full = new ExcludedHosts(null, line -> { });
-        for (int i = 0; i < ExcludedHosts.MAX; i++) {
-            assertTrue(full.add("h" + i));
+    void hostsBeyondTheLimitAndTooLongIdsAreRejected() throws IOException {
+        ExcludedHosts excludedHosts = new ExcludedHosts(null, line -> { });
+        for (int i = 0; i < ExcludedHosts.MAX_HOSTS; i++) {
+            assertTrue(excludedHosts.add("h" + i));
         }
-        assertFalse(full.add("one more"));
-        assertTrue(full.add("h1"));
-        full.remove("h1");
-        assertTrue(full.add("one more"));
+        assertFalse(excludedHosts.add("one more"));
+        assertTrue(excludedHosts.add("h1"));
+        excludedHosts.remove("h1");
+        assertTrue(excludedHosts.add("one more"));
         assertFalse(new ExcludedHosts(null, line -> { }).add("x".repeat(200)));
     }
 
-    /** A file stands in the folder's way, as a failing disk would: the start once ended with it. */
+    /**
+     * Guards against a start that fails because the folder cannot be read. A regular file in the folder's place stands for a
+     * failing disk.
+     */
     @Test
-    void aFolderThatFailsEndsTheStart() throws IOException {
+    void anUnreadableFolderDoesNotPreventTheStartAndIsReadLater() throws IOException {
         new ExcludedHosts(dir.resolve("f"), line -> { }).add("h");
         Files.move(dir.resolve("f"), dir.resolve("away"));
         Files.createFile(dir.resolve("f"));
-        List<String> log = new ArrayList<>();
-        ExcludedHosts excludedHosts = new ExcludedHosts(dir.resolve("f"), log::add);
-        assertEquals(1, log.size());
+        List<String> logLines = new ArrayList<>();
+        ExcludedHosts excludedHosts = new ExcludedHosts(dir.resolve("f"), logLines::add);
+        assertEquals(1, logLines.size());
         assertThrows(IOException.class, () -> excludedHosts.add("i"));
-        assertThrows(IOException.class, excludedHosts::look);
+        assertThrows(IOException.class, excludedHosts::reload);
         assertEquals(Set.of(), excludedHosts.hosts());
         Files.delete(dir.resolve("f"));
         Files.move(dir.resolve("away"), dir.resolve("f"));
-        assertTrue(excludedHosts.look());
+        assertTrue(excludedHosts.reload());
         assertEquals(Set.of("h"), excludedHosts.hosts());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/upgrade/HandOverTest.java
+++ b/gateway/src/test/java/marlford/gateway/upgrade/HandOverTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The steps of an upgrade, and the new process's end at each of them. */
+/** The steps of an upgrade, and either process ending at each of them. */
 class HandOverTest {
     private static final long PATIENCE_MS = 30_000;
     private static final long NEVER_MS = 3_600_000;
@@ -37,66 +37,69 @@
     @TempDir
     private Path dir;
     private Path path;
-    private final BlockingQueue<String> done = new LinkedBlockingQueue<>(); // with the place
-    private final Deque<Closeable> ends = new ArrayDeque<>();
-    private boolean away;
+    private final BlockingQueue<String> calls = new LinkedBlockingQueue<>(); // calls of the running process's side, in order
+    private final Deque<Closeable> resources = new ArrayDeque<>();
+    private boolean quiesced;
 
-    private final Successor.Place place = new Successor.Place() {
+    private final Successor.Place servingProcess = new Successor.Place() {
         @Override
         public boolean release() {
-            done.add("release");
-            return away;
+            calls.add("release");
+            return quiesced;
         }
 
         @Override
         public void leave() {
-            done.add("leave");
+            calls.add("leave");
         }
 
         @Override
         public void takeBack() {
-            done.add("takeBack");
+            calls.add("takeBack");
         }
 
         @Override
         public void end() {
-            done.add("end");
+            calls.add("end");
         }
     };
 
     @BeforeEach
-    void path() {
+    void setPath() {
         path = dir.resolve("s");
     }
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable c : ends) {
-            c.close();
+        for (Closeable resource : resources) {
+            resource.close();
         }
     }
 
-    private void running(long probationMs) throws IOException {
-        Successor running = new Successor(path, place, line -> { }, probationMs);
-        ends.push(running);
+    /** Starts the running process's side. */
+    private void startRunningProcess(long probationMs) throws IOException {
+        Successor running = new Successor(path, servingProcess, line -> { }, probationMs);
+        resources.push(running);
         running.open();
     }
 
-    private Predecessor found() throws Exception {
+    /** Connects the new process's side, which must find the running process. */
+    private Predecessor connectNewProcess() throws Exception {
         Predecessor found = Predecessor.find(path, PATIENCE_MS);
         assertNotNull(found);
-        ends.push(found);
+        resources.push(found);
         return found;
     }
 
-    private String next() throws InterruptedException {
-        return done.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    /** Waits for the next call of the running process's side. */
+    private String nextCall() throws InterruptedException {
+        return calls.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** A process of another program, or of another version, that speaks for itself. */
-    private SocketChannel stranger(String text) throws IOException {
+    /** Connects and sends raw text, as another program or another version would. */
+    private SocketChannel sendRaw(String text) throws IOException {
         SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(path));
-        ends.push(channel);
+        resources.push(channel);
         channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
         return channel;
     }
@@ -110,152 +113,155 @@
     }
 
     @Test
-    void thePlaceChangesHandsInOrder() throws Exception {
-        running(0);
-        Predecessor old = found();
-        assertTrue(done.isEmpty());
-        assertTrue(old.take(PATIENCE_MS));
-        assertEquals("release", next());
-        assertFalse(old.away());
-        assertTrue(done.isEmpty());
-        assertTrue(old.serving(PATIENCE_MS));
-        assertEquals("leave", next());
-        assertEquals("end", next());
+    void theStepsOfAHandoverHappenInOrder() throws Exception {
+        startRunningProcess(0);
+        Predecessor predecessor = connectNewProcess();
+        assertTrue(calls.isEmpty());
+        assertTrue(predecessor.take(PATIENCE_MS));
+        assertEquals("release", nextCall());
+        assertFalse(predecessor.away());
+        assertTrue(calls.isEmpty());
+        assertTrue(predecessor.serving(PATIENCE_MS));
+        assertEquals("leave", nextCall());
+        assertEquals("end", nextCall());
     }
 
     @Test
-    void aGatewayThatSendsItsClientsAwayGoesOnDoingSo() throws Exception {
-        away = true;
-        running(NEVER_MS);
-        Predecessor old = found();
-        assertTrue(old.take(PATIENCE_MS));
-        assertTrue(old.away());
+    void theNewProcessLearnsThatClientsAreBeingSentAway() throws Exception {
+        quiesced = true;
+        startRunningProcess(NEVER_MS);
+        Predecessor predecessor = connectNewProcess();
+        assertTrue(predecessor.take(PATIENCE_MS));
+        assertTrue(predecessor.away());
     }
 
     @Test
-    void anEndBeforeTheTakingChangesNothing() throws Exception {
-        running(NEVER_MS);
-        found().close();
-        Predecessor next = found();
-        assertTrue(next.take(PATIENCE_MS));
-        assertEquals("release", next());
+    void aNewProcessThatEndsBeforeTakingOverChangesNothing() throws Exception {
+        startRunningProcess(NEVER_MS);
+        connectNewProcess().close();
+        Predecessor nextProcess = connectNewProcess();
+        assertTrue(nextProcess.take(PATIENCE_MS));
+        assertEquals("release", nextCall());
     }
 
     @Test
-    void anEndBeforeServingGivesThePlaceBack() throws Exception {
-        running(NEVER_MS);
-        Predecessor old = found();
-        assertTrue(old.take(PATIENCE_MS));
-        old.close();
-        assertEquals("release", next());
-        assertEquals("takeBack", next());
-        Predecessor again = awaitFound();
-        assertTrue(again.take(PATIENCE_MS));
-        assertEquals("release", next());
+    void aNewProcessThatEndsBeforeServingIsReplacedByTheOldOne() throws Exception {
+        startRunningProcess(NEVER_MS);
+        Predecessor predecessor = connectNewProcess();
+        assertTrue(predecessor.take(PATIENCE_MS));
+        predecessor.close();
+        assertEquals("release", nextCall());
+        assertEquals("takeBack", nextCall());
+        Predecessor anotherAttempt = awaitRunningProcess();
+        assertTrue(anotherAttempt.take(PATIENCE_MS));
+        assertEquals("release", nextCall());
     }
 
     @Test
-    void anEndWhileItServesGivesThePlaceBack() throws Exception {
-        running(NEVER_MS);
-        Predecessor old = found();
-        assertTrue(old.take(PATIENCE_MS));
-        assertTrue(old.serving(PATIENCE_MS));
-        assertEquals("release", next());
-        assertEquals("leave", next());
-        Successor newer = new Successor(path, place, line -> { }, NEVER_MS);
-        newer.open(); // the new process waits for its own successor, and dies
+    void aNewProcessThatEndsDuringProbationIsReplacedByTheOldOne() throws Exception {
+        startRunningProcess(NEVER_MS);
+        Predecessor predecessor = connectNewProcess();
+        assertTrue(predecessor.take(PATIENCE_MS));
+        assertTrue(predecessor.serving(PATIENCE_MS));
+        assertEquals("release", nextCall());
+        assertEquals("leave", nextCall());
+        Successor newer = new Successor(path, servingProcess, line -> { }, NEVER_MS);
+        newer.open(); // the new process opens its own socket at the path, and ends
         newer.close();
-        old.close();
-        assertEquals("takeBack", next());
-        assertTrue(awaitFound().take(PATIENCE_MS)); // the old one has its path again
-        assertEquals("release", next());
+        predecessor.close();
+        assertEquals("takeBack", nextCall());
+        assertTrue(awaitRunningProcess().take(PATIENCE_MS)); // the old process has bound the path again
+        assertEquals("release", nextCall());
     }
 
-    /** The path is there again a moment after the place is. */
-    private Predecessor awaitFound() throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
-        for (Predecessor p = Predecessor.find(path, PATIENCE_MS);; p = Predecessor.find(path, PATIENCE_MS)) {
-            if (p != null) {
-                ends.push(p);
-                return p;
+    /** The socket is bound again shortly after {@code takeBack}. */
+    private Predecessor awaitRunningProcess() throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        for (Predecessor found = Predecessor.find(path, PATIENCE_MS);; found = Predecessor.find(path, PATIENCE_MS)) {
+            if (found != null) {
+                resources.push(found);
+                return found;
             }
-            assertTrue(System.nanoTime() < end, "nobody answers");
+            assertTrue(System.nanoTime() < deadline, "no process answers at the path");
             Thread.sleep(5);
         }
     }
 
     @Test
-    void theRunningProcessMayEndAtAnyStep() throws Exception {
+    void noProcessIsFoundWithoutASocketOrBehindAStaleOne() throws Exception {
         assertNull(Predecessor.find(path, PATIENCE_MS));
-        Successor running = new Successor(path, place, line -> { }, NEVER_MS);
+        Successor running = new Successor(path, servingProcess, line -> { }, NEVER_MS);
         running.open();
         running.close();
-        assertNull(Predecessor.find(path, PATIENCE_MS)); // its file is there, and nobody behind it
+        assertNull(Predecessor.find(path, PATIENCE_MS)); // the socket file exists, but no process listens
     }
 
     @Test
-    void anotherVersionIsToldSoAndNothingHappens() throws Exception {
-        running(NEVER_MS);
-        assertEquals("no: this is marlford-upgrade 1\n", read(stranger("marlford-upgrade 2\n")));
-        assertTrue(done.isEmpty());
-        Predecessor next = found();
-        assertTrue(next.take(PATIENCE_MS));
+    void aNewProcessOfAnotherVersionIsRejected() throws Exception {
+        startRunningProcess(NEVER_MS);
+        assertEquals("no: this is marlford-upgrade 1\n", read(sendRaw("marlford-upgrade 2\n")));
+        assertTrue(calls.isEmpty());
+        Predecessor nextProcess = connectNewProcess();
+        assertTrue(nextProcess.take(PATIENCE_MS));
     }
 
     @Test
-    void aRunningProcessOfAnotherVersionIsLeftAlone() throws Exception {
+    void aRunningProcessOfAnotherVersionIsNotTakenOver() throws Exception {
         ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(path));
-        ends.push(other);
-        Thread answering = new Thread(() -> {
-            try (SocketChannel c = other.accept()) {
-                c.write(ByteBuffer.wrap("no: this is marlford-upgrade 9\n".getBytes(StandardCharsets.US_ASCII)));
-                c.read(ByteBuffer.allocate(100));
+        resources.push(other);
+        Thread otherProcess = new Thread(() -> {
+            try (SocketChannel connection = other.accept()) {
+                connection.write(ByteBuffer.wrap("no: this is marlford-upgrade 9\n".getBytes(StandardCharsets.US_ASCII)));
+                connection.read(ByteBuffer.allocate(100));
             } catch (IOException e) {
-                // the test's end
+                // closed at the end of the test
             }
         });
-        answering.start();
+        otherProcess.start();
         IOException e = assertThrows(IOException.class, () -> Predecessor.find(path, PATIENCE_MS));
         assertTrue(e.getMessage().contains("marlford-upgrade 9"), e.getMessage());
     }
 
-    /** What no process of ours says ends the connection, and the next one is heard. */
+    /** Input that violates the protocol ends its connection, and the next connection is served. */
     @Test
-    void noiseIsPassedOver() throws Exception {
-        running(NEVER_MS);
-        for (String noise : new String[] {"\n", "x".repeat(1000), "a\n".repeat(50)}) {
-            stranger(noise);
+    void invalidInputEndsOnlyItsOwnConnection() throws Exception {
+        startRunningProcess(NEVER_MS);
+        for (String input : new String[] {"\n", "x".repeat(1000), "a\n".repeat(50)}) {
+            sendRaw(input);
         }
-        stranger(Successor.HELLO + "\nserving\n");
-        assertTrue(awaitFound().take(PATIENCE_MS));
-        assertEquals("release", next());
-        assertTrue(done.isEmpty());
+        sendRaw(Successor.VERSION_LINE + "\nserving\n");
+        assertTrue(awaitRunningProcess().take(PATIENCE_MS));
+        assertEquals("release", nextCall());
+        assertTrue(calls.isEmpty());
     }
 
-    /** The folder can't be written to for a while: that once ended a process that served. */
+    /** Guards against a serving process that ends because its socket's folder cannot be written to for a while. */
     @Test
-    void aSocketThatCanNotBeHadYetIsTriedAgain() throws Exception {
+    void aSocketThatCannotBeOpenedYetIsRetried() throws Exception {
         path = dir.resolve("missing").resolve("s");
-        running(NEVER_MS);
+        startRunningProcess(NEVER_MS);
         Files.createDirectory(path.getParent());
-        assertTrue(awaitFound().take(PATIENCE_MS));
-        assertEquals("release", next());
+        assertTrue(awaitRunningProcess().take(PATIENCE_MS));
+        assertEquals("release", nextCall());
     }
 
-    /** Without a socket for a moment the running process was taken for gone, and the new one ended: its address was in use. */
+    /**
+     * Guards against taking the running process for ended when this machine briefly has no socket to connect with; the new
+     * process would then fail, since the address is in use.
+     */
     @Test
-    void aFailedConnectTakesTheRunningProcessForGone() throws Exception {
-        running(NEVER_MS);
-        AtomicInteger failing = new AtomicInteger(3);
-        Predecessor old = Predecessor.find(path, PATIENCE_MS, address -> {
-            if (failing.getAndDecrement() > 0) {
+    void aLocalConnectFailureIsRetried() throws Exception {
+        startRunningProcess(NEVER_MS);
+        AtomicInteger failuresLeft = new AtomicInteger(3);
+        Predecessor predecessor = Predecessor.find(path, PATIENCE_MS, address -> {
+            if (failuresLeft.getAndDecrement() > 0) {
                 throw new SocketException("Too many open files in system");
             }
             return SocketChannel.open(address);
         });
-        assertNotNull(old);
-        ends.push(old);
-        assertTrue(old.take(PATIENCE_MS));
+        assertNotNull(predecessor);
+        resources.push(predecessor);
+        assertTrue(predecessor.take(PATIENCE_MS));
     }
 }
