--- a/gateway/src/main/java/marlford/gateway/console/Console.java
+++ b/gateway/src/main/java/marlford/gateway/console/Console.java
@@ -52,13 +52,15 @@
     private final Map<String, Supplier<String>> pages;
     private final Consumer<String> log;
     private final ExcludedHosts excludedHosts;
-    private volatile Set<String> currentHosts; // the excluded ones, for other threads
+    private volatile Set<String> currentHosts; // immutable copy of the excluded hosts, for other threads
     private final LinkedHashSet<Channel> awaitingRequest = new LinkedHashSet<>(); // without a complete request; the oldest first
     private int connections;
     private NioEventLoopGroup group;
     private Channel listener;
 
     /**
+     * Creates the console and reads the excluded hosts; {@link #listen} opens it.
+     *
      * @param pages additional GET paths and what they return; the suppliers run on this console's event loop
      * @param folder where the excluded hosts are stored across restarts; null to keep them in memory only
      * @param log receives one line for each request that changes something and for each failure
--- a/gateway/src/main/java/marlford/gateway/upgrade/HandoverChannel.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/HandoverChannel.java
@@ -25,6 +25,7 @@
     private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private volatile boolean ended;
 
+    /** Starts the reading thread. */
     HandoverChannel(SocketChannel channel) {
         this.channel = channel;
         Thread reader = new Thread(this::read, "upgrade");
--- a/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
@@ -39,6 +39,7 @@
         SocketChannel connect(SocketAddress address) throws IOException;
     }
 
+    /** As above, with a replaceable way to connect. */
     static Predecessor find(Path path, long waitMs, Connector connector) throws IOException, InterruptedException {
         if (!Files.exists(path)) {
             return null;
--- a/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
@@ -66,6 +66,7 @@
         this(path, servingProcess, log, PROBATION_MS);
     }
 
+    /** As above, with a probation time in milliseconds. */
     Successor(Path path, Place servingProcess, Consumer<String> log, long probationMs) {
         this.probationMs = probationMs;
         this.path = path;
