--- a/gateway/src/main/java/marlford/gateway/DecisionEngine.java
+++ b/gateway/src/main/java/marlford/gateway/DecisionEngine.java
@@ -251,10 +251,10 @@
         List<QuotaTerms> plans = settings.plans().stream().map(p -> new QuotaTerms(
                 p.excessPays() ? 0 : p.rate(), p.burst(), p.ceilingRate(), p.ceilingBurst())).toList();
         return new QuotaCoordinator(now, new QuotaCoordinator.Config(settings.me(), peers.length,
-                settings.sharing().mailPerSecond(), settings.sharing().maxUnits(), MAX_TRACKED_CUSTOMERS,
+                settings.sharing().messagesPerSecond(), settings.sharing().maxUnits(), MAX_TRACKED_CUSTOMERS,
                 plans), incarnation, random, new QuotaCoordinator.Link() {
             @Override public void tell(int peer, byte[] data) {
-                counters.note(Item.TOLD);
+                counters.increment(Item.TOLD);
                 actions.sendToPeer(peer, data);
             }
 
@@ -264,7 +264,7 @@
                 active.sendBy = decision.leaveBy();
                 if (decision.in()) admit(at, active);
                 if (decision.in()) return;
-                counters.note(Item.of(decision.why()));
+                counters.increment(Item.of(decision.why()));
                 close(active);
                 actions.refuse(id, retryAfterMs(decision.retryMs()));
             }
@@ -281,14 +281,14 @@
         peers = new Peer[Math.max(1, settings.gateways())];
         Arrays.setAll(peers, Peer::new);
         double heartbeatsPerMs =
-                HEARTBEAT_BUDGET_SHARE * Math.max(1, settings.sharing().mailPerSecond()) / 1000;
+                HEARTBEAT_BUDGET_SHARE * Math.max(1, settings.sharing().messagesPerSecond()) / 1000;
         heartbeatMs = Math.max(MIN_HEARTBEAT_MS, (peers.length - 1) / heartbeatsPerMs);
         double broadcastGapMs = (peers.length - 1) / messagesPerMs();
         beginIncarnation(now);
         boolean hundreds =
-                QuotaCoordinator.isFor(peers.length, settings.sharing().mailPerSecond());
-        if (settings.limits().peers() && hundreds) coordinator = newCoordinator(now);
-        else if (settings.limits().peers() && broadcastGapMs > REPLY_TIMEOUT_MS) {
+                QuotaCoordinator.isFor(peers.length, settings.sharing().messagesPerSecond());
+        if (settings.limits().peerMessages() && hundreds) coordinator = newCoordinator(now);
+        else if (settings.limits().peerMessages() && broadcastGapMs > REPLY_TIMEOUT_MS) {
             gossip = new GossipScheduler(now, broadcastGapMs, MAX_TRACKED_CUSTOMERS, random);
         }
         double total =
@@ -297,7 +297,7 @@
             ClassState state = new ClassState(c);
             state.weight = Math.max(MIN_CLASS_WEIGHT, c.worth()) / total;
             state.latencyMsPerUnit = state.baselineMsPerUnit =
-                    c.aimMs() * INITIAL_LATENCY_GOAL_SHARE / settings.sharing().maxUnits();
+                    c.goalMs() * INITIAL_LATENCY_GOAL_SHARE / settings.sharing().maxUnits();
             classes.put(c.name(), state);
         }
         for (int i = 0; i < settings.plans().size(); i++) planNumbers.put(settings.plans().get(i).name(), i);
@@ -311,18 +311,18 @@
         if (kind == ListKind.FAILED) actions.startTimer(STALE_REPORT_MS, "watch");
         if (kind == ListKind.FAILED) return;
         if (kind != ListKind.CHANGES) hostsById.values().forEach(h -> h.listed = false);
-        hostStarts.telling(hosts);
+        hostStarts.noteHosts(hosts);
         for (Host info : hosts) {
             HostRecord host = hostsById.computeIfAbsent(info.id(), id -> new HostRecord(info));
             host.info = info;
             host.listed = info.state() != HostState.GONE;
             if (info.startedMs() > 0 && info.startedMs() != host.reportedStartMs) {
                 host.reportedStartMs = info.startedMs();
-                host.startedAt = hostStarts.latestStart(now, info.startedMs());
+                host.startedAt = hostStarts.latestStartMs(now, info.startedMs());
                 host.slowness.factor = 1;
             }
         }
-        hostStarts.told(kind);
+        hostStarts.listProcessed(kind);
         surveyHosts(now);
         release(now);
     }
@@ -339,9 +339,9 @@
         // A stall of this process has used up the request's time, so it is refused before it delays others.
         // This also covers many clients at a slow start. It could hurt where requests are younger than the
         // stall.
-        counters.note(Item.TRIES);
+        counters.increment(Item.TRIES);
         if (request.arrivedMs() < now && now >= giveUpAt(active)) {
-            counters.note(Item.READ_LATE);
+            counters.increment(Item.READ_LATE);
             answerUnserved(active);
             return;
         }
@@ -353,7 +353,7 @@
                 boolean spent = customer == null || customer.quotaLevel < request.units();
                 boolean ceiling = !spent && customer.plan.ceilingRate() > 0
                         && customer.ceilingTokens < request.units();
-                counters.note(spent ? Item.QUOTA : ceiling ? Item.CEILING : Item.PART);
+                counters.increment(spent ? Item.QUOTA : ceiling ? Item.CEILING : Item.PART);
                 admitOrRefuse(now, active, false);
             }
             // While the event loop is late a reply would be read too late, so the own share decides.
@@ -380,7 +380,7 @@
         // A request whose expected wait exceeds its useful time is refused at once (rule 1).
         boolean queued = !active.closed && active.attempts.isEmpty();
         if (!queued || now + cls.queue.size() * cls.meanReleaseGapMs < giveUpAt(active)) return;
-        counters.note(Item.NO_PLACE);
+        counters.increment(Item.NO_PLACE);
         answerUnserved(active);
     }
 
@@ -425,7 +425,7 @@
             if (takeRetryToken(now, active) && result.outcome() != Outcome.MOOT) {
                 active.cls.queue.addFirst(active);
             } else {
-                counters.note(Item.TRIED);
+                counters.increment(Item.TRIED);
                 answerUnserved(active);
             }
         }
@@ -447,7 +447,7 @@
         if (!token.equals("beat")) return;
         actions.startTimer(TICK_MS, "beat");
         recordStall(now);
-        leases.beat(now);
+        leases.tick(now);
         expireQueued(now);
         handleMissedReplies(now);
         if (coordinator != null) coordinator.beat(now);
@@ -476,7 +476,7 @@
         lastTickAt = now;
         if (late == 0) return;
         totalStallMs += late;
-        leases.stalled(late);
+        leases.discountStall(late);
         if (coordinator != null) coordinator.stalled(late);
         pendingQueries.forEach(active -> active.replyDueAt += late);
     }
@@ -583,7 +583,7 @@
 
     /** The gateway that shares a leased part of the customer's ceiling with this one; -1 for none. */
     private int leasePeer(Customer c) {
-        boolean queries = settings.limits().peers() && gossip == null && coordinator == null;
+        boolean queries = settings.limits().peerMessages() && gossip == null && coordinator == null;
         if (!queries || c.plan.ceilingRate() <= 0 || c.setSize <= 1) return -1;
         return c.replicas[0] == settings.me() ? c.replicas[1]
                 : c.replicas[1] == settings.me() ? c.replicas[0] : -1;
@@ -592,13 +592,13 @@
     /** Since when this gateway holds the leased part: the backup holds it while the primary is silent. */
     private double leaseHeldSince(double now, Customer c) {
         int other = leasePeer(c);
-        if (other < 0) return TwoPartyLeases.NOT;
-        return c.replicas[0] == settings.me() ? leases.heldSince(now, other) : leases.takenSince(other);
+        if (other < 0) return TwoPartyLeases.NOT_HELD;
+        return c.replicas[0] == settings.me() ? leases.heldSince(now, other) : leases.takenOverSince(other);
     }
 
     private double ceilingShare(Customer c) {
         return permanentCeilingShare(c)
-                + (c.leaseHeldSince == TwoPartyLeases.NOT ? 0
+                + (c.leaseHeldSince == TwoPartyLeases.NOT_HELD ? 0
                         : PRIMARY_CEILING_SHARE * LEASED_PRIMARY_SHARE);
     }
 
@@ -611,7 +611,7 @@
      * transit.
      */
     private double ceilingRoom(double now, Customer c) {
-        return ceilingCapacity(c) - c.unsentCeilingUnits - c.transfers.lent(now);
+        return ceilingCapacity(c) - c.unsentCeilingUnits - c.transfers.lentUnits(now);
     }
 
     /** Only the holder of a share spends it. Units that a holder saved are lost when it loses the lease. */
@@ -622,7 +622,7 @@
         double since = leaseHeldSince(now, c);
         if (since != c.leaseHeldSince) { // until then at most the permanent share was held here
             from = Math.min(now, Math.max(from, since));
-            c.leaseHeldSince = TwoPartyLeases.NOT;
+            c.leaseHeldSince = TwoPartyLeases.NOT_HELD;
             addCeilingFill(c, from - c.refilledAt);
             c.leaseHeldSince = since;
         }
@@ -662,7 +662,7 @@
     private double demandShare(double now, Customer c) {
         if (c.setSize <= 1) return c.setSize;
         if (gossip != null && now - broadcastReceivedAt > STALE_REPORT_MS) return 1.0 / c.setSize;
-        if (!settings.limits().peers()) {
+        if (!settings.limits().peerMessages()) {
             return now - c.meteredAt < STALE_REPORT_MS ? c.meteredShare : 1.0 / c.setSize;
         }
         boolean stale = gossip == null && now - c.lastReportAt > STALE_REPORT_MS;
@@ -694,7 +694,7 @@
     /** Whether to admit a request, by what this gateway knows; QUERY where only a replica can decide. */
     private Admission judgeAdmission(double now, Customer c, double units) {
         c.demand += units / DEMAND_WINDOW_MS * 1000;
-        if (gossip != null && c.setSize > 1) gossip.changed(c.id);
+        if (gossip != null && c.setSize > 1) gossip.customerChanged(c.id);
         Plan p = c.plan;
         boolean limited = p.rate() > 0 && !p.excessPays();
         if (!p.excessPays() && !openLimitAdmits(now, c) || limited && c.quotaLevel < units) {
@@ -708,7 +708,7 @@
             return fits && (p.ceilingRate() <= 0 || c.ceilingTokens >= units) ? Admission.ADMIT
                     : Admission.REFUSE;
         }
-        boolean queries = settings.limits().peers() && c.setSize > 1;
+        boolean queries = settings.limits().peerMessages() && c.setSize > 1;
         int replica = actingReplica(now, c, 0);
         boolean room = !limited || replica == settings.me() && queries
                 || c.localTokens >= units && (!queries || now - c.lastReportAt < FRESH_REPORT_MS)
@@ -725,7 +725,7 @@
     private double reserve(double now, Customer c) {
         double cost = c.plan.excessCost() - c.plan.excessValue();
         double rate = c.othersDemand + UNREPORTED_USE_SHARE * c.plan.rate();
-        double age = gossip == null ? now - c.lastReportAt + REPORT_LAG_MS : gossip.gapMs() / 2;
+        double age = gossip == null ? now - c.lastReportAt + REPORT_LAG_MS : gossip.meanIntervalMs() / 2;
         return rate * age / 1000 * 2 * cost / (1 + cost);
     }
 
@@ -735,7 +735,7 @@
     private boolean openLimitAdmits(double now, Customer c) {
         int limit = c.plan.openLimit();
         boolean fresh = c.setSize == 1
-                || settings.limits().peers() && gossip == null && coordinator == null
+                || settings.limits().peerMessages() && gossip == null && coordinator == null
                 && (actingReplica(now, c, 0) == settings.me() || now - c.lastReportAt < FRESH_REPORT_MS);
         return limit <= 0 || (fresh ? c.openRequests + c.othersOpenRequests < limit
                 : c.openRequests < Math.max(1, (int) (limit * demandShare(now, c))));
@@ -761,7 +761,7 @@
             boolean room = c.plan.rate() <= 0
                     || (replica < 0 ? c.localTokens : c.quotaLevel) >= active.request.units();
             boolean in = room && (c.plan.ceilingRate() <= 0 || c.ceilingTokens >= active.request.units());
-            if (!in) counters.note(Item.KEEPER);
+            if (!in) counters.increment(Item.KEEPER);
             admitOrRefuse(now, active, in);
             queueChange(now, c);
             return;
@@ -802,7 +802,7 @@
      * Queues a report of a change to the acting replica; as that replica, reports to the others now and then.
      */
     private void queueChange(double now, Customer c) {
-        if (!settings.limits().peers() || c.setSize == 1
+        if (!settings.limits().peerMessages() || c.setSize == 1
                 || gossip != null || coordinator != null) return;
         int replica = actingReplica(now, c, 0);
         if (replica != settings.me()) {
@@ -826,7 +826,7 @@
      * gap.
      */
     private void sendDueMessages(double now) {
-        if (gossip != null && gossip.due(now, !transferRequests.isEmpty())) broadcastUsage(now);
+        if (gossip != null && gossip.isDue(now, !transferRequests.isEmpty())) broadcastUsage(now);
         double rate = messagesPerMs();
         messageBudget = Math.min(Math.max(1, rate * MESSAGE_BURST_MS),
                 messageBudget + (now - budgetRefilledAt) * rate / 2);
@@ -846,85 +846,85 @@
      * Messages per millisecond that all peers together may send to one gateway, hence also that one may send.
      */
     private double messagesPerMs() {
-        return Math.max(1, settings.sharing().mailPerSecond()) * MESSAGE_BUDGET_SHARE / 1000;
+        return Math.max(1, settings.sharing().messagesPerSecond()) * MESSAGE_BUDGET_SHARE / 1000;
     }
 
     /**
      * Where queries would take too long, all gateways get all use reported, and each admits by its own view.
      */
     private void broadcastUsage(double now) {
-        int count = UsageMessage.word(++broadcastsSent);
+        int count = UsageMessage.low16Bits(++broadcastsSent);
         List<Customer> reported = new ArrayList<>();
-        List<UsageMessage.Want> wants = new ArrayList<>();
-        List<UsageMessage.Gift> grants = grantTransfers(now);
-        for (long id : gossip.next(now,
-                UsageMessage.room(UsageMessage.LOANS + grants.size()))) {
+        List<UsageMessage.TransferRequest> wants = new ArrayList<>();
+        List<UsageMessage.Grant> grants = grantTransfers(now);
+        for (long id : gossip.nextCustomers(now,
+                UsageMessage.maxEntries(UsageMessage.MAX_TRANSFERS + grants.size()))) {
             Customer c = customers.get(id);
             if (c == null) continue;
             refill(now, c);
             reported.add(c);
-            double units = UsageMessage.loan(ceilingShortfall(now, c));
+            double units = UsageMessage.transferableUnits(ceilingShortfall(now, c));
             for (int i = 0; units > 0 && i < LENDERS_PER_TRANSFER
-                    && wants.size() < UsageMessage.LOANS; i++) {
-                int lender = c.transfers.giver(now, c.firstGateway, c.setSize, peers.length, random,
+                    && wants.size() < UsageMessage.MAX_TRANSFERS; i++) {
+                int lender = c.transfers.chooseLender(now, c.firstGateway, c.setSize, peers.length, random,
                         g -> g != settings.me() && now - peers[g].lastBroadcastAt < STALE_REPORT_MS);
                 if (lender < 0) break;
-                c.transfers.asked(now, lender, count);
-                wants.add(new UsageMessage.Want(id, c.planNumber, c.firstGateway, c.setSize,
+                c.transfers.requestSent(now, lender, count);
+                wants.add(new UsageMessage.TransferRequest(id, c.planNumber, c.firstGateway, c.setSize,
                         lender, units));
             }
         }
         List<UsageMessage.Entry> entries = reported.stream().map(c -> new UsageMessage.Entry(c.id,
-                c.planNumber, UsageMessage.usedField(c.maxUsedUnits()), c.demand,
+                c.planNumber, UsageMessage.encodeUsed(c.maxUsedUnits()), c.demand,
                 c.fullness())).toList();
-        counters.note(Item.TOLD);
-        actions.sendToPeer(ALL_PEERS, new UsageMessage(incarnation, count, entries, wants, grants).bytes());
+        counters.increment(Item.TOLD);
+        actions.sendToPeer(ALL_PEERS, new UsageMessage(incarnation, count, entries, wants, grants).encode());
     }
 
     /** Units missing in the own share of a ceiling; 0 unless little is left and the quota has room. */
     private double ceilingShortfall(double now, Customer c) {
         double least = settings.sharing().maxUnits();
         boolean needs = c.plan.ceilingRate() > 0 && c.setSize > 1 && c.quotaLevel >= least
-                && c.ceilingTokens - c.demand * 2 * gossip.gapMs() / 1000 < least;
+                && c.ceilingTokens - c.demand * 2 * gossip.meanIntervalMs() / 1000 < least;
         return needs ? ceilingRoom(now, c) - c.ceilingTokens : 0;
     }
 
     /**
      * Answers transfer requests with units beyond the own need, which are deducted here before they are sent.
      */
-    private List<UsageMessage.Gift> grantTransfers(double now) {
-        List<UsageMessage.Gift> grants = new ArrayList<>();
+    private List<UsageMessage.Grant> grantTransfers(double now) {
+        List<UsageMessage.Grant> grants = new ArrayList<>();
         for (CeilingTransferRequest r = transferRequests.poll(); r != null; r = transferRequests.poll()) {
             Customer c = r.customer();
             refill(now, c);
             double spare = c.ceilingTokens
                     - Math.max(MIN_KEPT_CEILING_SHARE * ceilingCapacity(c), c.demand);
-            double units = UsageMessage.loan(Math.min(r.units(), spare));
+            double units = UsageMessage.transferableUnits(Math.min(r.units(), spare));
             if (units <= 0 || now - r.receivedAt() > STALE_REPORT_MS) continue;
             c.ceilingTokens -= units;
-            c.transfers.gave(now, units);
-            grants.add(new UsageMessage.Gift(c.id, r.peer(), r.incarnation(), r.count(), units));
-            if (grants.size() == UsageMessage.LOANS) break;
+            c.transfers.unitsGranted(now, units);
+            grants.add(new UsageMessage.Grant(c.id, r.peer(), r.incarnation(), r.count(), units));
+            if (grants.size() == UsageMessage.MAX_TRANSFERS) break;
         }
         return grants;
     }
 
     /** Keeps a broadcast's transfer requests for later answers, and takes the units that it grants. */
     private void handleTransfers(double now, Peer peer, UsageMessage m) {
-        for (UsageMessage.Want w : m.wants()) {
+        for (UsageMessage.TransferRequest w : m.transferRequests()) {
             boolean both = w.inSet(peer.number, peers.length) && w.inSet(settings.me(), peers.length);
-            if (w.giver() != settings.me() || !both
+            if (w.lender() != settings.me() || !both
                     || transferRequests.size() >= MAX_TRANSFER_REQUESTS) continue;
             Customer c = customer(now, w.customer(), w.plan(), w.first(), w.spread());
             if (c == null || c.planNumber != w.plan()) continue;
             transferRequests.add(new CeilingTransferRequest(c, peer.number,
-                    UsageMessage.word(m.life()), m.count(), w.units(), now));
+                    UsageMessage.low16Bits(m.incarnation()), m.count(), w.units(), now));
         }
-        for (UsageMessage.Gift g : m.gifts()) {
-            Customer c = g.to() == settings.me() ? customers.get(g.customer()) : null;
-            if (c == null || g.toLife() != UsageMessage.word(incarnation)) continue;
+        for (UsageMessage.Grant g : m.grants()) {
+            Customer c = g.borrower() == settings.me() ? customers.get(g.customer()) : null;
+            if (c == null || g.borrowerIncarnation() != UsageMessage.low16Bits(incarnation)) continue;
             refill(now, c);
-            if (!c.transfers.takes(now, peer.number, g.toCount())) continue;
+            if (!c.transfers.acceptsGrant(now, peer.number, g.requestCount())) continue;
             c.ceilingTokens = Math.max(c.ceilingTokens,
                     Math.min(ceilingRoom(now, c), c.ceilingTokens + g.units()));
         }
@@ -932,7 +932,7 @@
 
     /** Takes over what a broadcast reports as used, and the ceiling units that it asks for or grants. */
     private void handleUsageMessage(double now, Peer peer, UsageMessage m) {
-        if (!peer.accepts(now, m.life(), m.count())) return;
+        if (!peer.accepts(now, m.incarnation(), m.count())) return;
         broadcastReceivedAt = peer.lastBroadcastAt = now;
         for (UsageMessage.Entry e : m.entries()) {
             Customer c = customer(now, e.customer(), e.plan(), 0, 0);
@@ -941,7 +941,7 @@
             // that the peer reports, so the level is adopted instead of the use.
             PeerUsage usage = c.usageOf(peer);
             boolean adopts = !usage.known && now - startedAt < MIN_IDLE_EVICTION_MS
-                    && m.life() - incarnation < 0;
+                    && m.incarnation() - incarnation < 0;
             double since = usage.usedSinceLastReport(e.used());
             c.othersDemand = Math.max(0, c.othersDemand + e.demand()
                     - usage.demand(now, DEMAND_WINDOW_MS));
@@ -957,7 +957,7 @@
     /** Sends one message with as many due replies and reports as fit, replies first. */
     private void sendLedgerMessage(double now, Peer peer) {
         List<LedgerMessage.Entry> entries = new ArrayList<>();
-        int room = (MAX_LEDGER_MESSAGE_BYTES - LedgerMessage.HEAD_BYTES) / LedgerMessage.ENTRY_BYTES;
+        int room = (MAX_LEDGER_MESSAGE_BYTES - LedgerMessage.HEADER_BYTES) / LedgerMessage.MAX_ENTRY_BYTES;
         peer.sentSerial++;
         for (LinkedHashSet<Customer> due : List.of(peer.replies, peer.reports)) {
             for (Iterator<Customer> it = due.iterator(); it.hasNext() && entries.size() < room; it.remove()) {
@@ -967,11 +967,11 @@
             }
         }
         peer.lastSentAt = now;
-        counters.note(Item.TOLD);
-        leases.told(now, peer.number, peer.sentSerial);
+        counters.increment(Item.TOLD);
+        leases.messageSent(now, peer.number, peer.sentSerial);
         var message = new LedgerMessage(incarnation, peer.incarnation.number(), peer.sentSerial,
                 peer.receivedSerial, entries);
-        actions.sendToPeer(peer.number, message.bytes());
+        actions.sendToPeer(peer.number, message.encode());
     }
 
     /**
@@ -1004,24 +1004,24 @@
     @Override public void onPeerMessage(double now, int from, byte[] data) {
         if (from < 0 || from >= peers.length || from == settings.me()) return; // not a peer of this tier
         if (gossip != null) {
-            UsageMessage usage = UsageMessage.read(data);
-            if (usage != null) counters.note(Item.HEARD);
+            UsageMessage usage = UsageMessage.decode(data);
+            if (usage != null) counters.increment(Item.HEARD);
             if (usage != null) handleUsageMessage(now, peers[from], usage);
         }
         QuotaMessage quota = coordinator == null ? null : QuotaMessage.read(data);
-        LedgerMessage ledger = quota == null ? LedgerMessage.read(data) : null;
+        LedgerMessage ledger = quota == null ? LedgerMessage.decode(data) : null;
         if (quota == null && ledger == null) return; // damaged, or of an unknown version
-        counters.note(Item.HEARD);
+        counters.increment(Item.HEARD);
         if (coordinator != null) coordinator.heard(now, from, quota);
         if (coordinator != null) return;
         Peer peer = peers[from];
-        if (!peer.accepts(now, ledger.epoch(), ledger.serial())) return;
+        if (!peer.accepts(now, ledger.incarnation(), ledger.serial())) return;
         peer.unresponsiveUntil = NEVER;
-        boolean toThisIncarnation = ledger.yourEpoch() == incarnation;
-        leases.heard(now, from);
-        if (toThisIncarnation) leases.answered(now, from, ledger.yourSerial());
+        boolean toThisIncarnation = ledger.receiverIncarnation() == incarnation;
+        leases.messageReceived(now, from);
+        if (toThisIncarnation) leases.messageAcknowledged(now, from, ledger.lastReceivedSerial());
         for (LedgerMessage.Entry e : ledger.entries()) {
-            if (e.answer()) handleReply(now, peer, e, ledger.yourSerial(), toThisIncarnation);
+            if (e.isReply()) handleReply(now, peer, e, ledger.lastReceivedSerial(), toThisIncarnation);
             else handleReport(now, peer, e);
         }
         sendDueMessages(now);
@@ -1044,9 +1044,9 @@
         if (c == null) return;
         if (IntStream.of(c.replicas).noneMatch(r -> r == settings.me())) return;
         boolean unsure = missesHistory(now, c);
-        boolean adopts = e.view() && (unsure || actingReplica(now, c, 0) == peer.number);
+        boolean adopts = e.hasFillLevel() && (unsure || actingReplica(now, c, 0) == peer.number);
         if (adopts) {
-            c.quotaLevel = Math.min(unsure ? c.quotaLevel : c.plan.burst(), e.fullness() * c.plan.burst());
+            c.quotaLevel = Math.min(unsure ? c.quotaLevel : c.plan.burst(), e.fillLevel() * c.plan.burst());
             c.historyKnown = true;
         }
         PeerUsage usage = c.usageOf(peer);
@@ -1054,25 +1054,25 @@
         usage.demand = e.demand();
         usage.demandAt = now;
         double back = usage.grantedUnits + usage.openRequests * settings.sharing().maxUnits();
-        c.othersOpenRequests += e.open() - usage.openRequests;
-        usage.openRequests = e.open();
+        c.othersOpenRequests += e.openRequests() - usage.openRequests;
+        usage.openRequests = e.openRequests();
         double spent = usage.known && !adopts
-                ? Math.max(-back, LedgerMessage.ahead(e.used(), usage.bookedUnits)) : 0;
+                ? Math.max(-back, LedgerMessage.unitsAhead(e.usedUnits(), usage.bookedUnits)) : 0;
         usage.known = true;
         c.quotaLevel = Math.max(-c.plan.burst(), Math.min(c.plan.burst(), c.quotaLevel - spent));
-        boolean gives = e.ceiling() && c.plan.ceilingRate() > 0;
-        boolean grants = e.want() > 0
-                && (c.plan.rate() <= 0 || c.quotaLevel >= e.want())
-                && (!gives || c.ceilingTokens >= e.want());
-        usage.grantedUnits = grants ? e.want() : 0;
-        usage.bookedUnits = e.used() + usage.grantedUnits;
+        boolean gives = e.hasCeiling() && c.plan.ceilingRate() > 0;
+        boolean grants = e.requestedOrGrantedUnits() > 0
+                && (c.plan.rate() <= 0 || c.quotaLevel >= e.requestedOrGrantedUnits())
+                && (!gives || c.ceilingTokens >= e.requestedOrGrantedUnits());
+        usage.grantedUnits = grants ? e.requestedOrGrantedUnits() : 0;
+        usage.bookedUnits = e.usedUnits() + usage.grantedUnits;
         c.quotaLevel -= usage.grantedUnits;
         if (actingReplica(now, c, 0) == settings.me() && spent + usage.grantedUnits != 0) queueChange(now, c);
-        if (grants && gives && e.reply()) {
-            c.ceilingTokens -= e.want();
-            usage.ceilingUnitsGiven += e.want();
+        if (grants && gives && e.replyRequested()) {
+            c.ceilingTokens -= e.requestedOrGrantedUnits();
+            usage.ceilingUnitsGiven += e.requestedOrGrantedUnits();
         }
-        if (e.reply()) {
+        if (e.replyRequested()) {
             peer.replies.add(c);
             queue(peer, null);
         }
@@ -1093,31 +1093,31 @@
             return;
         }
         PeerUsage usage = c.usageOf(peer);
-        if (e.ceiling() && e.given() > usage.ceilingUnitsTaken) {
+        if (e.hasCeiling() && e.grantedCeilingUnits() > usage.ceilingUnitsTaken) {
             c.ceilingTokens = Math.min(ceilingCapacity(c) - c.unsentCeilingUnits,
-                    c.ceilingTokens + e.given() - usage.ceilingUnitsTaken);
-            usage.ceilingUnitsTaken = e.given();
+                    c.ceilingTokens + e.grantedCeilingUnits() - usage.ceilingUnitsTaken);
+            usage.ceilingUnitsTaken = e.grantedCeilingUnits();
         }
         List<ActiveRequest> decided = c.pending.stream().filter(a -> a.queriedReplica == peer.number
-                && !LedgerMessage.after(a.querySerial, mySerial)).toList();
-        if (!e.unsure()) {
+                && !LedgerMessage.isLaterSerial(a.querySerial, mySerial)).toList();
+        if (!e.uncertain()) {
             c.othersDemand = e.demand();
-            c.othersOpenRequests = e.open();
+            c.othersOpenRequests = e.openRequests();
             c.lastReportAt = now;
             c.historyKnown = true;
-            c.quotaLevel = e.fullness() * c.plan.burst() - LedgerMessage.ahead(c.used, e.used());
+            c.quotaLevel = e.fillLevel() * c.plan.burst() - LedgerMessage.unitsAhead(c.used, e.usedUnits());
         }
-        double granted = e.want();
+        double granted = e.requestedOrGrantedUnits();
         for (ActiveRequest active : decided) {
             double units = active.request.units();
-            if (e.unsure() && active.replicaStage + 1 < c.replicas.length) {
+            if (e.uncertain() && active.replicaStage + 1 < c.replicas.length) {
                 queryReplica(now, active, active.replicaStage + 1);
                 continue;
             }
             c.pending.remove(active);
             boolean in = granted >= units && (c.plan.ceilingRate() <= 0 || c.ceilingTokens >= units);
             granted -= in ? units : 0;
-            if (!in) counters.note(Item.KEEPER);
+            if (!in) counters.increment(Item.KEEPER);
             admitOrRefuse(now, active, in);
             int primary = c.replicas[0];
             if (in && peer.number != primary && primary != settings.me()) queue(peers[primary], c);
@@ -1186,8 +1186,8 @@
             busyHosts.add(host);
             attemptsInFlight++;
         }
-        counters.note(Item.SENT);
-        if (warmth(host, now) < 1) counters.note(Item.TO_COLD);
+        counters.increment(Item.SENT);
+        if (warmth(host, now) < 1) counters.increment(Item.TO_COLD);
         actions.send(active.request.id(), host.info.id(), 0);
     }
 
@@ -1201,7 +1201,7 @@
         // try.
         double time = active.request.deadlineMs() - active.arrivedAt;
         if (!active.mayHaveReachedHost()) end = Math.min(end, active.arrivedAt + UNSENT_TIME_SHARE * time);
-        double goal = active.cls.spec.aimMs();
+        double goal = active.cls.spec.goalMs();
         double useful = active.cls.spec.lateValue() >= MIN_LATE_VALUE ? end
                 : Math.min(end, active.arrivedAt + goal);
         double hold = useful - active.arrivedAt - FINISH_TIME_FACTOR * active.expectedMs();
@@ -1212,7 +1212,7 @@
     private void expireQueued(double now) {
         for (ClassState c : classes.values()) {
             for (ActiveRequest active : c.queue.stream().filter(a -> now >= giveUpAt(a)).toList()) {
-                counters.note(active.attempts.isEmpty() ? Item.NO_PLACE : Item.TRIED);
+                counters.increment(active.attempts.isEmpty() ? Item.NO_PLACE : Item.TRIED);
                 c.recordDelay(now - active.arrivedAt, 0);
                 answerUnserved(active); // also removes it from the queue
             }
@@ -1284,7 +1284,7 @@
 
     /** The mean delay, in milliseconds, at which a class is content. */
     static double delayGoal(ClassState c) {
-        return c.spec.aimMs() * DELAY_GOAL_SHARE;
+        return c.spec.goalMs() * DELAY_GOAL_SHARE;
     }
 
     /** Averages the delays of the classes and, at longer intervals, moves weight between the classes. */
@@ -1372,7 +1372,7 @@
 
     @Override public String takeActivityLine(double now) {
         long cold = usableHosts.stream().filter(h -> warmth(h, now) < 1).count();
-        return counters.take() + " open=" + activeRequests.size() + " out=" + attemptsInFlight
+        return counters.takeLine() + " open=" + activeRequests.size() + " out=" + attemptsInFlight
                 + " places=" + (int) slotLimit() + " hosts=" + usableHosts.size() + " cold=" + cold
                 + " avoided=" + avoidedHostCount(now)
                 + (coordinator == null ? "" : coordinator.counts());
@@ -1393,7 +1393,7 @@
 
     /** The share of its capacity that a host has while it warms up; 1 when it is warm. */
     private double warmth(HostRecord host, double now) {
-        double from = settings.rules().coldFrom();
+        double from = settings.rules().coldShare();
         double done = (now - host.startedAt) / Math.max(1, settings.rules().warmWithinMs());
         return done >= 1 ? 1 : Math.max(0.01, from + (1 - from) * Math.max(0, done));
     }
@@ -1459,7 +1459,7 @@
             // A cold host has no attempts and would win each comparison, so it takes part only as often as it
             // may win (rule 4).
             double warmth = warmth(host, now);
-            double share = COLD_HOST_SAFETY_SHARE * settings.rules().fallMultiple() * warmth;
+            double share = COLD_HOST_SAFETY_SHARE * settings.rules().overloadFactor() * warmth;
             // The comparison of all usable hosts is the second one: a cold host had its chance in the first.
             boolean hadChance = drawn == usableHosts && active.firstPossiblyRun() == null;
             boolean skipped = warmth < 1 && (hadChance || random.nextDouble() * serving > share);
@@ -1478,8 +1478,8 @@
      * most what all gateways have there, which must fit what rule 4 allows beyond the host's capacity.
      */
     private boolean mayTryOne(ActiveRequest active, HostRecord host, double warmth) {
-        double allowed = (settings.rules().fallMultiple() - 1) * warmth * MIN_CORES_PER_HOST
-                * settings.rules().fallMs();
+        double allowed = (settings.rules().overloadFactor() - 1) * warmth * MIN_CORES_PER_HOST
+                * settings.rules().overloadWindowMs();
         return host.attempts.isEmpty() && active.request.bodyTimeMs() == 0
                 && peers.length * active.expectedMs() <= allowed;
     }
@@ -1505,7 +1505,7 @@
     /** Rule 2: once an attempt may have run, a request goes only to hosts where a repeat does no harm. */
     private boolean mayRunOn(double now, ActiveRequest active, Attempt ran, HostRecord host) {
         return repeatable(now, active, ran) && (ran == null || active.cls.spec.effect() != Effect.KEYED
-                || active.cls.spec.scope().together(host.info, ran.host.info));
+                || active.cls.spec.scope().sharesKeys(host.info, ran.host.info));
     }
 
     private static boolean repeatable(double now, ActiveRequest active, Attempt ran) {
@@ -1536,7 +1536,7 @@
         HostRecord host = attempt.host;
         ClassState c = active.cls;
         boolean clear = ownStallMs(now, attempt) <= MAX_OWN_STALL_SHARE * result.latencyMs();
-        counters.note(Item.of(result.outcome()));
+        counters.increment(Item.of(result.outcome()));
         switch (result.outcome()) {
             case OK -> {
                 host.slownessOf(c).update(now, 1, FAILURE_SAMPLE_WEIGHT, SLOWNESS_FADE_MS);
@@ -1565,10 +1565,10 @@
         if (clear && (result.outcome() == Outcome.OK || result.outcome() == Outcome.TIMEOUT)) {
             latencySumMs += result.latencyMs(); // a timeout is an answer that takes at least that long
             baselineSumMs += c.baselineMsPerUnit * active.request.units();
-            goalShareSum += result.latencyMs() / c.spec.aimMs();
+            goalShareSum += result.latencyMs() / c.spec.goalMs();
             latencySamples++;
         }
-        if (active.customer != null && !settings.limits().peers()) {
+        if (active.customer != null && !settings.limits().peerMessages()) {
             active.customer.applyMeterReading(now, result.quotaUsedPct(), EVEN_DEMAND_SHARE);
         }
     }
--- a/gateway/src/main/java/marlford/gateway/EngineApi.java
+++ b/gateway/src/main/java/marlford/gateway/EngineApi.java
@@ -17,7 +17,7 @@
         ALL, ZONE, CELL;
 
         /** True where both hosts detect repeats of the same keys. */
-        public boolean together(Host a, Host b) {
+        public boolean sharesKeys(Host a, Host b) {
             return this == ALL || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
         }
     }
@@ -48,13 +48,13 @@
      *
      * @param scope hosts among which a keyed request may be repeated
      * @param windowMs how long hosts remember an idempotency key
-     * @param aimMs latency goal
+     * @param goalMs latency goal
      * @param deadlineMs hard limit of the time to answer
      * @param worth value of an answer within the goal
      * @param lateValue value of an answer after the goal
      * @param streaming responses are long, and their hosts work until the last byte
      */
-    public record RequestClass(String name, Effect effect, Scope scope, double windowMs, double aimMs,
+    public record RequestClass(String name, Effect effect, Scope scope, double windowMs, double goalMs,
             double deadlineMs, double worth, double lateValue, boolean streaming) { }
 
     /**
@@ -82,13 +82,13 @@
      * What the gateway may do.
      *
      * @param maxAttempts attempts for one request
-     * @param duplicates a second attempt may be sent while the first is in flight
+     * @param mayDuplicate a second attempt may be sent while the first is in flight
      * @param cancel attempts can be cancelled
      * @param probes hosts can be probed
-     * @param peers gateways can send messages to each other
+     * @param peerMessages gateways can send messages to each other
      * @param retryAfter a refusal can name a time after which a retry is welcome
      */
-    public record Limits(int maxAttempts, boolean duplicates, boolean cancel, boolean probes, boolean peers,
+    public record Limits(int maxAttempts, boolean mayDuplicate, boolean cancel, boolean probes, boolean peerMessages,
             boolean retryAfter, double maxRetryAfterMs) { }
 
     /**
@@ -96,14 +96,14 @@
      *
      * @param answerSlackMs tolerance for answers after a deadline
      * @param drainGraceMs time for which a host may still get requests after it is reported to be draining
-     * @param fallMultiple multiple of its capacity beyond which a host is overloaded
-     * @param fallMs window over which that is counted
-     * @param coldFrom share of its capacity that a host has right after its start
+     * @param overloadFactor multiple of its capacity beyond which a host is overloaded
+     * @param overloadWindowMs window over which that is counted
+     * @param coldShare share of its capacity that a host has right after its start
      * @param warmWithinMs time from its start until a host has its full capacity
      * @param askWithinMs as set; the engine does not use it
      */
-    public record Rules(double answerSlackMs, double drainGraceMs, double fallMultiple, double fallMs,
-            double coldFrom, double warmWithinMs, double askWithinMs) { }
+    public record Rules(double answerSlackMs, double drainGraceMs, double overloadFactor, double overloadWindowMs,
+            double coldShare, double warmWithinMs, double askWithinMs) { }
 
     /**
      * How gateways can share what they know, and what that costs.
@@ -112,13 +112,13 @@
      * @param meterPeriodMs period of the usage meter
      * @param postPaid the units of a request are known only from its answer
      * @param maxUnits of one request
-     * @param mailPerSecond messages that a gateway accepts per second
+     * @param messagesPerSecond messages that a gateway accepts per second
      * @param peerPrice cost of a message between gateways
      * @param probePrice cost of a probe
-     * @param zonePrice cost of a request that crosses zones
+     * @param crossZonePrice cost of a request that crosses zones
      */
     public record Sharing(boolean counter, double counterPrice, double meterPeriodMs, boolean postPaid,
-            double maxUnits, double mailPerSecond, double peerPrice, double probePrice, double zonePrice) { }
+            double maxUnits, double messagesPerSecond, double peerPrice, double probePrice, double crossZonePrice) { }
 
     /**
      * All settings of one engine.
--- a/gateway/src/main/java/marlford/gateway/EngineState.java
+++ b/gateway/src/main/java/marlford/gateway/EngineState.java
@@ -130,7 +130,7 @@
          */
         boolean accepts(double now, int senderIncarnation, int serial) {
             boolean sameIncarnation = incarnation.isKnown() && senderIncarnation == incarnation.number();
-            boolean late = sameIncarnation && !LedgerMessage.after(serial, receivedSerial);
+            boolean late = sameIncarnation && !LedgerMessage.isLaterSerial(serial, receivedSerial);
             if (!incarnation.hears(now, senderIncarnation) || late) return false;
             receivedSerial = serial;
             return true;
@@ -160,10 +160,10 @@
 
         /** Units by which the broadcast total has grown since the last one; the whole total if it is new or was reset. */
         double usedSinceLastReport(int total) {
-            double since = known ? UsageMessage.ahead(total, usedField) : -1;
+            double since = known ? UsageMessage.unitsAhead(total, usedField) : -1;
             known = true;
             usedField = total;
-            return since < 0 ? UsageMessage.units(total) : since;
+            return since < 0 ? UsageMessage.decodeUsed(total) : since;
         }
     }
 
@@ -180,7 +180,7 @@
         double localTokens; // this gateway's part of the quota
         double quotaLevel; // the whole quota bucket: as booked at a ledger replica, elsewhere an upper limit
         double ceilingTokens; // this gateway's part of the ceiling
-        double leaseHeldSince; // when the leased part of the ceiling was acquired, or TwoPartyLeases.NOT
+        double leaseHeldSince; // when the leased part of the ceiling was acquired, or TwoPartyLeases.NOT_HELD
         final QuotaTransfers transfers = new QuotaTransfers(); // of ceiling units
         double refilledAt;
         double demand; // at this gateway, in units per second, averaged
--- a/gateway/src/main/java/marlford/gateway/HostStarts.java
+++ b/gateway/src/main/java/marlford/gateway/HostStarts.java
@@ -28,14 +28,14 @@
     }
 
     /** Notes the hosts of a list; to be called before the estimates for these hosts. */
-    void telling(Iterable<EngineApi.Host> hosts) {
+    void noteHosts(Iterable<EngineApi.Host> hosts) {
         for (EngineApi.Host host : hosts) {
             youngestStartedMs = Math.max(youngestStartedMs, host.startedMs());
         }
     }
 
     /** The latest time at which a host can have started that is reported with this start for the first time. */
-    double latestStart(double now, double startedMs) {
+    double latestStartMs(double now, double startedMs) {
         if (agentListReceived) {
             return now;
         }
@@ -44,7 +44,7 @@
     }
 
     /** Records that a list was processed; {@code kind} distinguishes an agent's list from the cached one. */
-    void told(EngineApi.ListKind kind) {
+    void listProcessed(EngineApi.ListKind kind) {
         agentListReceived |= kind != EngineApi.ListKind.CACHED;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/accept/AcceptRetry.java
+++ b/gateway/src/main/java/marlford/gateway/accept/AcceptRetry.java
@@ -53,7 +53,7 @@
     }
 
     /** The number of accepted connections and failures since the listener was opened. */
-    public long calls() {
+    public long acceptCalls() {
         return acceptCalls;
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Upper limit of the time that a connection being accepted now has waited behind others, in milliseconds. */
-    public double waitedMs() {
+    public double backlogWaitMs() {
         return backlogSinceMs == NO_BACKLOG ? 0 : clock.getAsDouble() - backlogSinceMs;
     }
 
--- a/gateway/src/main/java/marlford/gateway/gossip/GossipScheduler.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/GossipScheduler.java
@@ -47,12 +47,12 @@
     }
 
     /** The mean time between messages, in milliseconds. */
-    public double gapMs() {
+    public double meanIntervalMs() {
         return meanIntervalMs;
     }
 
     /** Records that there is something new to report on this customer. */
-    public void changed(long customer) {
+    public void customerChanged(long customer) {
         repeatsLeft.remove(customer);
         if (changed.add(customer) && changed.size() > maxCustomers) {
             dropFirst(changed.iterator());
@@ -70,13 +70,13 @@
      *
      * @param moreContent whether there is something to report other than customers
      */
-    public boolean due(double now, boolean moreContent) {
+    public boolean isDue(double now, boolean moreContent) {
         boolean nothingToReport = changed.isEmpty() && repeatsLeft.isEmpty() && !moreContent;
         return now >= (nothingToReport ? nextMessageMs + IDLE_EXTRA_INTERVAL_MS : nextMessageMs);
     }
 
     /** The customers to report in the message that is sent now, at most {@code maxEntries}; schedules the next message. */
-    public List<Long> next(double now, int maxEntries) {
+    public List<Long> nextCustomers(double now, int maxEntries) {
         nextMessageMs = now + meanIntervalMs * (1 - INTERVAL_JITTER_SHARE + 2 * INTERVAL_JITTER_SHARE * random.nextDouble());
         List<Long> reported = new ArrayList<>(maxEntries);
         for (Iterator<Long> it = changed.iterator(); it.hasNext() && reported.size() < maxEntries; it.remove()) {
--- a/gateway/src/main/java/marlford/gateway/gossip/QuotaTransfers.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/QuotaTransfers.java
@@ -35,7 +35,7 @@
     private double lentUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Units that were granted to others and may not have arrived yet. */
-    public double lent(double now) {
+    public double lentUnits(double now) {
         if (now >= lentUntilMs) {
             lentUnits = 0;
         }
@@ -43,8 +43,8 @@
     }
 
     /** Records that units were deducted here for another gateway. All lent units count until the last grant's term ends. */
-    public void gave(double now, double units) {
-        lentUnits = lent(now) + units;
+    public void unitsGranted(double now, double units) {
+        lentUnits = lentUnits(now) + units;
         lentUntilMs = now + REQUEST_TERM_MS + LENDER_TERM_MARGIN_MS;
     }
 
@@ -57,7 +57,7 @@
      * @param usable whether that gateway has been heard from recently and is likely to have units to spare
      * @return the lender's number, or -1 if none was found
      */
-    public int giver(double now, int first, int spread, int gateways, Random random, IntPredicate usable) {
+    public int chooseLender(double now, int first, int spread, int gateways, Random random, IntPredicate usable) {
         for (int i = 0; i < MAX_LENDER_DRAWS; i++) {
             int lender = (first + random.nextInt(spread)) % gateways;
             Request open = requestsByLender.get(lender);
@@ -69,12 +69,12 @@
     }
 
     /** Records that a request was sent to the lender in the message with this count. */
-    public void asked(double now, int lender, int messageCount) {
+    public void requestSent(double now, int lender, int messageCount) {
         requestsByLender.put(lender, new Request(messageCount, now));
     }
 
     /** Whether a grant of the lender for the request in the message with this count may be accepted; true only once. */
-    public boolean takes(double now, int lender, int messageCount) {
+    public boolean acceptsGrant(double now, int lender, int messageCount) {
         Request open = requestsByLender.get(lender);
         boolean valid = open != null && open.messageCount() == messageCount && now - open.sentMs() < REQUEST_TERM_MS;
         if (valid) {
--- a/gateway/src/main/java/marlford/gateway/gossip/UsageMessage.java
+++ b/gateway/src/main/java/marlford/gateway/gossip/UsageMessage.java
@@ -10,15 +10,15 @@
  * incarnation and its count of such messages, then the use of customers, transfer requests for ceiling units, and grants.
  * Translation only; amounts are clamped to the range of their field.
  *
- * @param life the sender's incarnation; a later one restarts all counts
+ * @param incarnation the sender's incarnation; a later one restarts all counts
  * @param count number of messages that this incarnation has sent, this one included; 16 bits, wraps around
- * @param entries at most {@link #room} of them
- * @param wants transfer requests, at most {@link #LOANS}
- * @param gifts grants, at most {@link #LOANS}
+ * @param entries at most {@link #maxEntries} of them
+ * @param transferRequests transfer requests, at most {@link #MAX_TRANSFERS}
+ * @param grants grants, at most {@link #MAX_TRANSFERS}
  */
-public record UsageMessage(int life, int count, List<Entry> entries, List<Want> wants, List<Gift> gifts) {
+public record UsageMessage(int incarnation, int count, List<Entry> entries, List<TransferRequest> transferRequests, List<Grant> grants) {
     /** Upper limit of transfer requests, and of grants as well, in one message beside entries. */
-    public static final int LOANS = 5;
+    public static final int MAX_TRANSFERS = 5;
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final int HEADER_BYTES = 12;
     private static final int TRANSFER_BYTES = 12; // of a transfer request or a grant
@@ -46,10 +46,10 @@
      *
      * @param first number of the first gateway of the customer's set
      * @param spread size of that set
-     * @param giver number of the lender that the request is for
+     * @param lender number of the lender that the request is for
      * @param units 0 to 63.75
      */
-    public record Want(long customer, int plan, int first, int spread, int giver, double units) {
+    public record TransferRequest(long customer, int plan, int first, int spread, int lender, double units) {
         /** Whether that gateway, in a tier of {@code gateways}, is in the set; false for a set larger than the tier. */
         public boolean inSet(int gateway, int gateways) {
             return spread <= gateways && Math.floorMod(gateway - first, gateways) < spread;
@@ -59,40 +59,40 @@
     /**
      * A grant: ceiling units that the sender has deducted for another gateway.
      *
-     * @param to number of the borrower
-     * @param toLife the low 16 bits of the borrower's incarnation that sent the request
-     * @param toCount the count of the message that carried the request
+     * @param borrower number of the borrower
+     * @param borrowerIncarnation the low 16 bits of the borrower's incarnation that sent the request
+     * @param requestCount the count of the message that carried the request
      * @param units 0 to 63.75
      */
-    public record Gift(long customer, int to, int toLife, int toCount, double units) { }
+    public record Grant(long customer, int borrower, int borrowerIncarnation, int requestCount, double units) { }
 
     /** The number of entries that fit beside this many transfer requests and grants. */
-    public static int room(int transfers) {
+    public static int maxEntries(int transfers) {
         return (MAX_MESSAGE_BYTES - HEADER_BYTES - TRANSFER_BYTES * transfers) / ENTRY_BYTES;
     }
 
     /** The low 16 bits of an incarnation or a count. */
-    public static int word(int value) {
+    public static int low16Bits(int value) {
         return value & SHORT_MASK;
     }
 
     /** The largest amount that a transfer field can carry and that is not above {@code units}. */
-    public static double loan(double units) {
+    public static double transferableUnits(double units) {
         return Math.max(0, Math.min(BYTE_MASK, Math.floor(units * TRANSFER_STEPS_PER_UNIT))) / TRANSFER_STEPS_PER_UNIT;
     }
 
     /** The field value for an amount of units used. */
-    public static int usedField(double units) {
+    public static int encodeUsed(double units) {
         return (int) Math.round(units * USED_STEPS_PER_UNIT) & SHORT_MASK;
     }
 
     /** Units by which one such field is ahead of another, across a wrap-around; below 0 if it is behind. */
-    public static double ahead(int later, int earlier) {
+    public static double unitsAhead(int later, int earlier) {
         return (short) (later - earlier) / USED_STEPS_PER_UNIT;
     }
 
     /** Units that such a field stands for by itself. */
-    public static double units(int used) {
+    public static double decodeUsed(int used) {
         return used / USED_STEPS_PER_UNIT;
     }
 
@@ -101,29 +101,29 @@
      *
      * @throws IllegalArgumentException if the content does not fit
      */
-    public byte[] bytes() {
-        int transfers = wants.size() + gifts.size();
-        if (Math.max(wants.size(), gifts.size()) > LOANS || entries.size() > room(transfers)) {
+    public byte[] encode() {
+        int transfers = transferRequests.size() + grants.size();
+        if (Math.max(transferRequests.size(), grants.size()) > MAX_TRANSFERS || entries.size() > maxEntries(transfers)) {
             throw new IllegalArgumentException("usage message too large: entries " + entries.size() + ", transfers " + transfers);
         }
         ByteBuffer b = Frame.begin(VERSION, HEADER_BYTES + ENTRY_BYTES * entries.size() + TRANSFER_BYTES * transfers);
-        b.putInt(life).putShort((short) count);
-        b.put((byte) entries.size()).put((byte) wants.size()).put((byte) gifts.size());
+        b.putInt(incarnation).putShort((short) count);
+        b.put((byte) entries.size()).put((byte) transferRequests.size()).put((byte) grants.size());
         for (Entry e : entries) {
             putCustomer(b, e.customer(), e.plan());
             b.putShort((short) e.used());
             b.put((byte) Math.min(BYTE_MASK, Math.round(Math.sqrt(Math.max(0, e.demand())) * DEMAND_ROOT_STEPS)));
             b.put((byte) Math.round(Math.max(0, Math.min(1, e.fullness())) * BYTE_MASK));
         }
-        for (Want w : wants) {
+        for (TransferRequest w : transferRequests) {
             putCustomer(b, w.customer(), w.plan());
-            b.putShort((short) w.first()).putShort((short) w.spread()).putShort((short) w.giver());
-            b.put((byte) (loan(w.units()) * TRANSFER_STEPS_PER_UNIT));
+            b.putShort((short) w.first()).putShort((short) w.spread()).putShort((short) w.lender());
+            b.put((byte) (transferableUnits(w.units()) * TRANSFER_STEPS_PER_UNIT));
         }
-        for (Gift g : gifts) {
+        for (Grant g : grants) {
             putCustomer(b, g.customer(), 0);
-            b.putShort((short) g.to()).putShort((short) g.toLife()).putShort((short) g.toCount());
-            b.put((byte) (loan(g.units()) * TRANSFER_STEPS_PER_UNIT));
+            b.putShort((short) g.borrower()).putShort((short) g.borrowerIncarnation()).putShort((short) g.requestCount());
+            b.put((byte) (transferableUnits(g.units()) * TRANSFER_STEPS_PER_UNIT));
         }
         return Frame.end(b);
     }
@@ -133,7 +133,7 @@
     }
 
     /** The decoded message, or null if the bytes are none: too short, too long, damaged or of another version. */
-    public static UsageMessage read(byte[] data) {
+    public static UsageMessage decode(byte[] data) {
         ByteBuffer b = Frame.open(data, VERSION, HEADER_BYTES, MAX_MESSAGE_BYTES);
         if (b == null) {
             return null;
@@ -150,15 +150,15 @@
         while (entries.size() < entryCount) {
             entries.add(entry(b));
         }
-        List<Want> requests = new ArrayList<>(requestCount);
+        List<TransferRequest> requests = new ArrayList<>(requestCount);
         while (requests.size() < requestCount) {
             int customerAndPlan = b.get() & BYTE_MASK;
-            requests.add(new Want(customer(customerAndPlan, b), customerAndPlan >>> 1, b.getShort() & SHORT_MASK, b.getShort() & SHORT_MASK,
-                    b.getShort() & SHORT_MASK, (b.get() & BYTE_MASK) / TRANSFER_STEPS_PER_UNIT));
+            requests.add(new TransferRequest(customer(customerAndPlan, b), customerAndPlan >>> 1, b.getShort() & SHORT_MASK,
+                    b.getShort() & SHORT_MASK, b.getShort() & SHORT_MASK, (b.get() & BYTE_MASK) / TRANSFER_STEPS_PER_UNIT));
         }
-        List<Gift> grants = new ArrayList<>(grantCount);
+        List<Grant> grants = new ArrayList<>(grantCount);
         while (grants.size() < grantCount) {
-            grants.add(new Gift(customer(b.get() & BYTE_MASK, b), b.getShort() & SHORT_MASK, b.getShort() & SHORT_MASK,
+            grants.add(new Grant(customer(b.get() & BYTE_MASK, b), b.getShort() & SHORT_MASK, b.getShort() & SHORT_MASK,
                     b.getShort() & SHORT_MASK, (b.get() & BYTE_MASK) / TRANSFER_STEPS_PER_UNIT));
         }
         return new UsageMessage(life, count, entries, requests, grants);
--- a/gateway/src/main/java/marlford/gateway/guard/AttemptGuard.java
+++ b/gateway/src/main/java/marlford/gateway/guard/AttemptGuard.java
@@ -22,16 +22,17 @@
      * @param startedMs when it began, in milliseconds
      * @param host null if it is no longer on any list
      */
-    public record Earlier(Outcome outcome, double startedMs, Host host) {
+    public record EarlierAttempt(Outcome outcome, double startedMs, Host host) {
         boolean mayHaveRun() {
             return outcome == null || !outcome.neverRan();
         }
     }
 
     /** The rule that another attempt at this host would break; null if it breaks none. */
-    public static Rule brokenByRepeat(double now, RequestClass requestClass, Limits limits, List<Earlier> earlierAttempts, Host to) {
-        for (Earlier earlier : earlierAttempts) {
-            if (earlier.outcome() == null && !limits.duplicates()) {
+    public static Rule ruleBrokenByRepeat(double now, RequestClass requestClass, Limits limits,
+            List<EarlierAttempt> earlierAttempts, Host to) {
+        for (EarlierAttempt earlier : earlierAttempts) {
+            if (earlier.outcome() == null && !limits.mayDuplicate()) {
                 return Rule.SECOND_COPY;
             }
             if (earlier.mayHaveRun() && requestClass.effect() == Effect.ONCE) {
@@ -45,9 +46,9 @@
     }
 
     /** Whether the host recognizes the idempotency key of the earlier attempt, and so does not run the request again. */
-    private static boolean dropsRepeat(double now, RequestClass requestClass, Earlier earlier, Host to) {
+    private static boolean dropsRepeat(double now, RequestClass requestClass, EarlierAttempt earlier, Host to) {
         boolean withinKeyWindow = now - earlier.startedMs() < requestClass.windowMs();
-        return withinKeyWindow && (earlier.host() == null || to == null || requestClass.scope().together(earlier.host(), to));
+        return withinKeyWindow && (earlier.host() == null || to == null || requestClass.scope().sharesKeys(earlier.host(), to));
     }
 
     /** Whether the drain grace of a host is over, so that no new attempt may be sent to it; times in milliseconds. */
--- a/gateway/src/main/java/marlford/gateway/guard/ClientProgress.java
+++ b/gateway/src/main/java/marlford/gateway/guard/ClientProgress.java
@@ -3,13 +3,14 @@
 /**
  * Decides whether a client has stalled. At any time a connection waits either for its client or for this gateway; while it waits
  * for the client a time limit applies, whatever else happens. All limits on a time without progress, except the one for a single
- * unread answer, are below {@link #OWED_MS} by the time that the periodic check of connections and a delayed event loop may add.
+ * unread answer, are below {@link #STALLED_CLIENT_LIMIT_MS} by the time that the periodic check of connections and a delayed event
+ * loop may add.
  *
  * <p>Pure: no clock and no I/O. Times are milliseconds on the caller's clock.
  */
 public final class ClientProgress {
     /** A stalled client gets an error or a close within this time. */
-    public static final double OWED_MS = 3000;
+    public static final double STALLED_CLIENT_LIMIT_MS = 3000;
 
     private static final double FIRST_REQUEST_TIMEOUT_MS = 2000; // from the connection's start
     private static final double HEAD_TIMEOUT_MS = 2500; // from its first byte; a client may take 2000
@@ -19,7 +20,7 @@
      * Time without progress that is charged to a client which was waiting for this gateway; it leaves
      * {@link #RESUMED_READ_TIMEOUT_MS} of the limit.
      */
-    public static final double WAITED_MS = BODY_PAUSE_TIMEOUT_MS - RESUMED_READ_TIMEOUT_MS;
+    public static final double CHARGED_WAIT_MS = BODY_PAUSE_TIMEOUT_MS - RESUMED_READ_TIMEOUT_MS;
     private static final double BODY_RATE_GRACE_MS = 3500; // from the request's start, before its mean rate is checked
     private static final double MIN_BODY_BYTES_PER_MS = 16; // mean rate
     private static final double OUTPUT_TIMEOUT_MS = 2500; // for unread answers with more input of the client behind them
@@ -58,20 +59,20 @@
             boolean outputPending, double outputProgressMs) { }
 
     /** Where a client has stalled: not at all, before its first request, while sending a request, or while reading answers. */
-    public enum Stopped { NO, BEFORE_FIRST_REQUEST, IN_REQUEST, READING }
+    public enum Stall { NO, BEFORE_FIRST_REQUEST, IN_REQUEST, READING }
 
     /** Whether the client has been stalled for longer than the limit, and where. */
-    public static Stopped judge(double now, Connection c) {
+    public static Stall findStall(double now, Connection c) {
         if (c.outputPending() && now - c.outputProgressMs() > outputTimeoutMs(c)) {
-            return Stopped.READING;
+            return Stall.READING;
         }
         if (c.finished() || c.answerDue() || c.queued() || !c.input().drained()) {
-            return Stopped.NO;
+            return Stall.NO;
         }
         if (c.input().part() == Part.NONE) {
-            return !c.hadRequest() && now - c.openedMs() > FIRST_REQUEST_TIMEOUT_MS ? Stopped.BEFORE_FIRST_REQUEST : Stopped.NO;
+            return !c.hadRequest() && now - c.openedMs() > FIRST_REQUEST_TIMEOUT_MS ? Stall.BEFORE_FIRST_REQUEST : Stall.NO;
         }
-        return isLate(now, c.input()) ? Stopped.IN_REQUEST : Stopped.NO;
+        return isLate(now, c.input()) ? Stall.IN_REQUEST : Stall.NO;
     }
 
     private static double outputTimeoutMs(Connection c) {
@@ -90,15 +91,15 @@
                 || sinceStart > BODY_RATE_GRACE_MS + input.bodyBytes() / MIN_BODY_BYTES_PER_MS;
     }
 
-    /** How long a stalled client has made no progress, in milliseconds; should be below {@link #OWED_MS}. */
-    public static double stoppedMs(double now, Stopped how, Connection c) {
-        if (how == Stopped.READING) {
+    /** How long a stalled client has made no progress, in milliseconds; should be below {@link #STALLED_CLIENT_LIMIT_MS}. */
+    public static double stalledMs(double now, Stall how, Connection c) {
+        if (how == Stall.READING) {
             return now - c.outputProgressMs();
         }
-        if (how == Stopped.BEFORE_FIRST_REQUEST) {
+        if (how == Stall.BEFORE_FIRST_REQUEST) {
             return now - c.openedMs();
         }
         Input input = c.input();
-        return how == Stopped.NO ? 0 : now - (input.part() == Part.HEAD ? input.sinceMs() : input.readMs());
+        return how == Stall.NO ? 0 : now - (input.part() == Part.HEAD ? input.sinceMs() : input.readMs());
     }
 }
--- a/gateway/src/main/java/marlford/gateway/guard/RuleCounter.java
+++ b/gateway/src/main/java/marlford/gateway/guard/RuleCounter.java
@@ -7,7 +7,7 @@
     private final int[] breaches = new int[Rule.values().length];
 
     /** Adds one breach of the rule. */
-    public void broken(Rule rule) {
+    public void countBreach(Rule rule) {
         breaches[rule.ordinal()]++;
     }
 
@@ -21,9 +21,9 @@
      *
      * @param stoppedMs how long the client had made no progress when its connection was ended, in milliseconds
      */
-    public void clientEnded(double stoppedMs) {
-        if (stoppedMs > ClientProgress.OWED_MS) {
-            broken(Rule.CLIENT_LEFT_OPEN);
+    public void stalledClientEnded(double stoppedMs) {
+        if (stoppedMs > ClientProgress.STALLED_CLIENT_LIMIT_MS) {
+            countBreach(Rule.CLIENT_LEFT_OPEN);
         }
     }
 
--- a/gateway/src/main/java/marlford/gateway/lease/TwoPartyLeases.java
+++ b/gateway/src/main/java/marlford/gateway/lease/TwoPartyLeases.java
@@ -15,7 +15,7 @@
  * not agree; over these times they may drift apart by at most the difference between the two.
  *
  * <p><b>Stalls.</b> Messages that arrive while the successor's process is paused are read only afterwards, so its own stall
- * does not mean that the holder is silent: the caller reports it with {@link #stalled}, and only {@link #beat} takes
+ * does not mean that the holder is silent: the caller reports it with {@link #discountStall}, and only {@link #tick} takes
  * anything over. A stall of the holder uses up its term.
  *
  * <p>Every gateway is the holder of its own resources and the successor for those of its peers.
@@ -39,7 +39,7 @@
     }
 
     /** Stands for a time and means "not held". */
-    public static final double NOT = Double.POSITIVE_INFINITY;
+    public static final double NOT_HELD = Double.POSITIVE_INFINITY;
 
     private static final int NO_MESSAGE = -1;
 
@@ -63,11 +63,11 @@
         lastReceivedMs = new double[peers];
         Arrays.fill(lastReceivedMs, now);
         takenOverSinceMs = new double[peers];
-        Arrays.fill(takenOverSinceMs, NOT);
+        Arrays.fill(takenOverSinceMs, NOT_HELD);
     }
 
     /** Records that a message with this serial number (its low 16 bits) was sent to the peer. */
-    public void told(double now, int peer, int serial) {
+    public void messageSent(double now, int peer, int serial) {
         if (unacknowledgedSerial[peer] == NO_MESSAGE) {
             unacknowledgedSerial[peer] = serial & 0xffff;
             unacknowledgedSentMs[peer] = now;
@@ -78,11 +78,11 @@
      * Records an acknowledgement: the peer reports, to this incarnation of the gateway, that the message with this serial
      * number is the last one it received.
      */
-    public void answered(double now, int peer, int serial) {
+    public void messageAcknowledged(double now, int peer, int serial) {
         if (unacknowledgedSerial[peer] == NO_MESSAGE || (short) (serial - unacknowledgedSerial[peer]) < 0) {
             return;
         }
-        if (heldSince(now, peer) == NOT) {
+        if (heldSince(now, peer) == NOT_HELD) {
             heldSinceMs[peer] = now;
         }
         provenSentMs[peer] = unacknowledgedSentMs[peer]; // a lower bound: the acknowledged message may have been sent later
@@ -90,34 +90,34 @@
     }
 
     /** Records any message of the peer: what was taken over from it is its own again. */
-    public void heard(double now, int peer) {
+    public void messageReceived(double now, int peer) {
         lastReceivedMs[peer] = now;
-        takenOverSinceMs[peer] = NOT;
+        takenOverSinceMs[peer] = NOT_HELD;
     }
 
     /** Records that this process was paused for {@code ms} milliseconds and read no message meanwhile. */
-    public void stalled(double ms) {
+    public void discountStall(double ms) {
         for (int i = 0; i < lastReceivedMs.length; i++) {
             lastReceivedMs[i] += ms;
         }
     }
 
-    /** Takes over from peers that have been silent for too long. To be called every few milliseconds, after {@link #stalled}. */
-    public void beat(double now) {
+    /** Takes over from peers that have been silent for too long. To be called every few milliseconds, after {@link #discountStall}. */
+    public void tick(double now) {
         for (int i = 0; i < lastReceivedMs.length; i++) {
-            if (takenOverSinceMs[i] == NOT && now - lastReceivedMs[i] > terms.takeoverSilenceMs()) {
+            if (takenOverSinceMs[i] == NOT_HELD && now - lastReceivedMs[i] > terms.takeoverSilenceMs()) {
                 takenOverSinceMs[i] = now;
             }
         }
     }
 
-    /** Since when this gateway has continuously held what the successor would take over; {@link #NOT} if it does not hold it. */
+    /** Since when this gateway has continuously held what the successor would take over; {@link #NOT_HELD} if it does not hold it. */
     public double heldSince(double now, int successor) {
-        return now < provenSentMs[successor] + terms.holderTermMs() ? heldSinceMs[successor] : NOT;
+        return now < provenSentMs[successor] + terms.holderTermMs() ? heldSinceMs[successor] : NOT_HELD;
     }
 
-    /** Since when this gateway has had what it took over from the holder; {@link #NOT} if it took nothing over. */
-    public double takenSince(int holder) {
+    /** Since when this gateway has had what it took over from the holder; {@link #NOT_HELD} if it took nothing over. */
+    public double takenOverSince(int holder) {
         return takenOverSinceMs[holder];
     }
 }
--- a/gateway/src/main/java/marlford/gateway/list/HostList.java
+++ b/gateway/src/main/java/marlford/gateway/list/HostList.java
@@ -30,7 +30,7 @@
  * <p><b>Hosts that operators exclude</b> drain, whatever any agent reports, until the exclusion ends.
  *
  * <p><b>The age of the list.</b> Each accepted update, an empty one too, confirms the list. Once it has not been confirmed
- * for {@link Limits#vouchMs}, hosts that have not answered this gateway within that time are suspended, that is, treated as
+ * for {@link Limits#staleAfterMs}, hosts that have not answered this gateway within that time are suspended, that is, treated as
  * draining, those whose last answer is oldest first. At least {@link Limits#retainedHostShare} of the running hosts, and at least
  * one, always stay, since a gateway without a host can serve no request. The next accepted update ends the suspension.
  *
@@ -41,7 +41,7 @@
     /**
      * Time limits of a list.
      *
-     * @param vouchMs age of the last accepted update, in milliseconds, above which the list alone no longer keeps a host in
+     * @param staleAfterMs age of the last accepted update, in milliseconds, above which the list alone no longer keeps a host in
      *     use; above 0
      * @param retainedHostShare share of the running hosts that stay in use however old the list is; 0 to 1
      * @param closedHoldMs how long, in milliseconds, a report of another source does not reopen a closed host; 0 or more
@@ -49,13 +49,13 @@
      *     0 or more
      * @param removedHostRetentionMs how long, in milliseconds, a host that was removed from the list is remembered; at least closedHoldMs
      */
-    public record Limits(double vouchMs, double retainedHostShare, double closedHoldMs, double lowerVersionRejectMs,
+    public record Limits(double staleAfterMs, double retainedHostShare, double closedHoldMs, double lowerVersionRejectMs,
             double removedHostRetentionMs) {
         /** The values that a gateway uses; each is documented in docs/operators/reload.md. */
         public static final Limits DEFAULT = new Limits(30_000, 0.5, 10_000, 1000, 60_000);
 
         public Limits {
-            if (!(vouchMs > 0) || !(retainedHostShare >= 0 && retainedHostShare <= 1) || !(closedHoldMs >= 0)
+            if (!(staleAfterMs > 0) || !(retainedHostShare >= 0 && retainedHostShare <= 1) || !(closedHoldMs >= 0)
                     || !(lowerVersionRejectMs >= 0) || !(removedHostRetentionMs >= closedHoldMs)) {
                 throw new IllegalArgumentException("a time limit or share of the host list is out of range");
             }
@@ -65,19 +65,19 @@
     /**
      * The result of an update.
      *
-     * @param taken whether the update was accepted
+     * @param accepted whether the update was accepted
      * @param kind what {@code hosts} stands for
      * @param hosts the hosts to pass on to the decision engine, with the states that the gateway is to use
      */
-    public record Told(boolean taken, ListKind kind, List<Host> hosts) {
-        static final Told REJECTED = new Told(false, ListKind.FAILED, List.of());
+    public record Update(boolean accepted, ListKind kind, List<Host> hosts) {
+        static final Update REJECTED = new Update(false, ListKind.FAILED, List.of());
     }
 
     /** Upper limit of removed hosts that are remembered; above it those that were listed first are forgotten first. */
     static final int MAX_REMOVED_HOSTS = 10_000;
 
     /** Stands for "no version held": the next call has to request the full list. */
-    public static final long NONE = -1;
+    public static final long NO_VERSION = -1;
 
     /** What is known of one host. */
     private static final class Entry {
@@ -102,8 +102,8 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private Set<String> excludedIds = Set.of();
     private Object source;
-    private long version = NONE;
-    private long cachedVersion = NONE;
+    private long version = NO_VERSION;
+    private long cachedVersion = NO_VERSION;
     // While true no change is accepted, but versions are still compared with the one held.
     private boolean fullListDue;
     private double confirmedAtMs;
@@ -115,9 +115,9 @@
         this.confirmedAtMs = now;
     }
 
-    /** The version from which to request changes of this agent, or {@link #NONE} if its full list is due. */
-    public long version(Object agent) {
-        return agent.equals(source) && !fullListDue ? version : NONE;
+    /** The version from which to request changes of this agent, or {@link #NO_VERSION} if its full list is due. */
+    public long heldVersion(Object agent) {
+        return agent.equals(source) && !fullListDue ? version : NO_VERSION;
     }
 
     /** Milliseconds since an update was last accepted. */
@@ -126,7 +126,7 @@
     }
 
     /** An accepted update could not be passed on: the full list is due again, in a version that is not lower. */
-    public void lost() {
+    public void requireFullList() {
         fullListDue = true;
     }
 
@@ -134,9 +134,9 @@
      * Loads a list that was cached before this process started. Its age is unknown, so the first full list of any agent
      * replaces it unconditionally.
      *
-     * @param cachedVersion the version that was stored with the list, or {@link #NONE}
+     * @param cachedVersion the version that was stored with the list, or {@link #NO_VERSION}
      */
-    public Told known(List<Host> hosts, long cachedVersion) {
+    public Update loadCached(List<Host> hosts, long cachedVersion) {
         this.cachedVersion = cachedVersion;
         for (Host h : hosts) {
             Entry e = new Entry();
@@ -144,32 +144,32 @@
             e.excluded = excludedIds.contains(h.id());
             entries.put(h.id(), e);
         }
-        return new Told(true, ListKind.CACHED, report(confirmedAtMs, entries.values()));
+        return new Update(true, ListKind.CACHED, report(confirmedAtMs, entries.values()));
     }
 
     /**
      * Makes the cached list the base for changes, after the agent rejected a request for its full list under load. Changes
      * since the cached version cost the agent less, and an agent that does not know the version answers with the full list.
      */
-    public void goOnFromKnown(Object agent) {
-        if (source == null && cachedVersion != NONE) {
+    public void continueFromCached(Object agent) {
+        if (source == null && cachedVersion != NO_VERSION) {
             source = agent;
             version = cachedVersion;
         }
     }
 
     /** Processes an update of an agent. A rejected update changes no host; after a rejected change the full list is due. */
-    public Told heard(double now, Object agent, long updateVersion, boolean full, List<Host> hosts) {
+    public Update receive(double now, Object agent, long updateVersion, boolean full, List<Host> hosts) {
         boolean sameSource = agent.equals(source);
         boolean lowerVersion = sameSource && updateVersion < version;
         if (!full && (!sameSource || lowerVersion || fullListDue)) {
-            lost();
-            return Told.REJECTED;
+            requireFullList();
+            return Update.REJECTED;
         }
         if (lowerVersion) {
             lowerVersionSinceMs = Double.isNaN(lowerVersionSinceMs) ? now : lowerVersionSinceMs;
             if (now - lowerVersionSinceMs < limits.lowerVersionRejectMs()) {
-                return Told.REJECTED;
+                return Update.REJECTED;
             }
         }
         boolean mayBeOlder = source != null && (!sameSource || lowerVersion); // only full lists: such a change was rejected above
@@ -191,7 +191,7 @@
                 changed.put(e.getKey(), e.getValue());
             }
         }
-        Told update = new Told(true, full ? ListKind.FULL : ListKind.CHANGES, report(now, changed.values()));
+        Update update = new Update(true, full ? ListKind.FULL : ListKind.CHANGES, report(now, changed.values()));
         forgetExcessRemoved();
         return update;
     }
@@ -263,14 +263,14 @@
      *
      * @return the hosts whose state this changes, to be passed on
      */
-    public List<Host> leaveOut(double now, Set<String> ids) {
+    public List<Host> setExcluded(double now, Set<String> ids) {
         excludedIds = Set.copyOf(ids);
         entries.forEach((id, e) -> e.excluded = excludedIds.contains(id));
         return changedHosts(now);
     }
 
     /** The ids of the hosts on the list, in any state but gone. */
-    public Set<String> listed() {
+    public Set<String> listedIds() {
         Set<String> ids = new HashSet<>();
         entries.forEach((id, e) -> {
             if (e.host.state() != HostState.GONE) {
@@ -286,7 +286,7 @@
     }
 
     /** The number of hosts that would be on the list if these changes were accepted. */
-    public int listedWith(List<Host> changes) {
+    public int listedCountAfter(List<Host> changes) {
         int listed = 0;
         for (Entry e : entries.values()) {
             listed += e.host.state() == HostState.GONE ? 0 : 1;
@@ -301,7 +301,7 @@
     }
 
     /** Records that a host answered this gateway, so its process is alive. */
-    public void served(double now, String id) {
+    public void hostAnswered(double now, String id) {
         Entry e = entries.get(id);
         if (e != null) {
             e.lastAnswerMs = now;
@@ -314,7 +314,7 @@
      * @return the hosts whose state changed, to be passed on; empty if there are none
      */
     public List<Host> review(double now) {
-        if (ageMs(now) > limits.vouchMs()) {
+        if (ageMs(now) > limits.staleAfterMs()) {
             suspendUnresponsive(now);
         }
         entries.values().removeIf(e -> e.host.state() == HostState.GONE && now - e.closedAtMs > limits.removedHostRetentionMs());
@@ -341,7 +341,7 @@
         running.sort(Comparator.comparingDouble((Entry e) -> -e.lastAnswerMs).thenComparing(e -> e.host.id()));
         int retained = Math.max(1, (int) Math.ceil(running.size() * limits.retainedHostShare()));
         for (int i = 0; i < running.size(); i++) {
-            running.get(i).suspended = i >= retained && now - running.get(i).lastAnswerMs > limits.vouchMs();
+            running.get(i).suspended = i >= retained && now - running.get(i).lastAnswerMs > limits.staleAfterMs();
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/list/PollingBackoff.java
+++ b/gateway/src/main/java/marlford/gateway/list/PollingBackoff.java
@@ -31,7 +31,7 @@
     static final long MAX_CALL_GAP_MS = CHANGE_KNOWN_MS - MAX_CONNECT_MS - LIST_ANSWER_MS; // from one call's start to the next
     private static final long FIRST_RETRY_MS = 50; // wait after the first of several failed calls; a long poll lasts at least 200
     /** Timeout of a long poll that has no earlier call to count from, in milliseconds after its start. */
-    public static final long WATCH_MS = MAX_CALL_GAP_MS - FIRST_RETRY_MS;
+    public static final long DEFAULT_LONG_POLL_TIMEOUT_MS = MAX_CALL_GAP_MS - FIRST_RETRY_MS;
     static final long MIN_WAIT_MS = 25; // shortest wait before a call that is already due
     static final double MAX_MEAN_WAIT_MS = 3000; // a drawn wait may be half as long again
     private static final double FIRST_REJECTION_MEAN_WAIT_MS = 500;
@@ -70,12 +70,12 @@
     }
 
     /** Records that a connection to an agent is being opened for a call. */
-    public void called(double now) {
+    public void callStarted(double now) {
         upToDateAtMs = now;
     }
 
     /** Records that a call was answered with an accepted update; returns the wait before the next call, in milliseconds. */
-    public long answered(double now) {
+    public long waitAfterAnswer(double now) {
         failures = 0;
         unusableAnswers = 0;
         upToDateAtMs = now;
@@ -84,14 +84,14 @@
     }
 
     /** Records that a call was rejected under load; returns the wait before the next call, in milliseconds. */
-    public long turnedAway(double now) {
+    public long waitAfterRejection(double now) {
         upToDateAtMs = now; // up to a rejection, discovery counts as not reachable
         meanWaitMs = Math.min(MAX_MEAN_WAIT_MS, Math.max(FIRST_REJECTION_MEAN_WAIT_MS, meanWaitMs * REJECTION_WAIT_FACTOR));
         return randomized(meanWaitMs);
     }
 
     /** Records that a call failed or was not answered; returns the wait before the next call, in milliseconds. */
-    public long broke(double now) {
+    public long waitAfterFailure(double now) {
         long wait = Math.min(maxRetryMs, FIRST_RETRY_MS << Math.min(failures++, Long.SIZE / 4));
         return beforeDeadline(now, Math.max(upperHalf(wait), randomized(meanWaitMs)));
     }
@@ -100,7 +100,7 @@
      * Records an answer that could not be used at all. Reading the same answer again is useless, so the waits grow up to the
      * deadline; returns the wait before the next call, in milliseconds.
      */
-    public long unusable(double now) {
+    public long waitAfterUnusableAnswer(double now) {
         long wait = Math.min(MAX_CALL_GAP_MS, FIRST_RETRY_MS << Math.min(unusableAnswers++, Long.SIZE / 4));
         return beforeDeadline(now, Math.max(upperHalf(wait), randomized(meanWaitMs)));
     }
@@ -109,7 +109,7 @@
      * Records a list that is longer than this process can hold. It is unlikely to be shorter soon; returns the wait before
      * the next call, in milliseconds.
      */
-    public long tooLong(double now) {
+    public long waitAfterTooLongList(double now) {
         return beforeDeadline(now, upperHalf(MAX_CALL_GAP_MS));
     }
 
@@ -117,23 +117,23 @@
      * Records that a long poll got no answer within its timeout; returns the wait before the next call, in milliseconds. The
      * call was not rejected, and a change that it missed has to be known soon, so throttling does not extend the wait.
      */
-    public long fellSilent() {
+    public long waitAfterLongPollTimeout() {
         failures++;
         return upperHalf(FIRST_RETRY_MS);
     }
 
     /** How long to wait for a list fetched by another gateway before this one calls by itself, in milliseconds. */
-    public long turnMs(double now) {
+    public long sharedFetchWaitMs(double now) {
         return beforeDeadline(now, MAX_CALL_GAP_MS);
     }
 
     /** Timeout of a connection to an agent, in milliseconds. */
-    public long connectMs() {
+    public long connectTimeoutMs() {
         return Math.min(MAX_CONNECT_MS, answerTimeoutMs);
     }
 
     /** Resets the state, since another address is called from now on. */
-    public void moved() {
+    public void agentChanged() {
         failures = 0;
         unusableAnswers = 0;
         meanWaitMs = 0;
@@ -145,7 +145,7 @@
     }
 
     /** Timeout of a long poll that starts now, in milliseconds. */
-    public long watchMs(double now) {
+    public long longPollTimeoutMs(double now) {
         return Math.max(MIN_ANSWER_TIMEOUT_MS, beforeDeadline(now, MAX_CALL_GAP_MS) - FIRST_RETRY_MS);
     }
 
@@ -155,18 +155,18 @@
     }
 
     /** Timeout of a call for the full list, in milliseconds; counts from the start and from each part of the answer. */
-    public long patienceMs() {
+    public long answerTimeoutMs() {
         return isThrottled() ? THROTTLED_ANSWER_TIMEOUT_MS : answerTimeoutMs;
     }
 
     /** When the next call has to begin, even if the answer to the last one is still being received. */
-    public double nextCallBy() {
+    public double nextCallDeadlineMs() {
         return upToDateAtMs + MAX_CALL_GAP_MS;
     }
 
     /** The wait, shortened where the next call would otherwise begin after the deadline; at least the shortest wait. */
     private long beforeDeadline(double now, long waitMs) {
-        return Math.max(MIN_WAIT_MS, (long) Math.min(waitMs, nextCallBy() - now));
+        return Math.max(MIN_WAIT_MS, (long) Math.min(waitMs, nextCallDeadlineMs() - now));
     }
 
     /** A random value between half the wait and the whole of it. */
--- a/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
+++ b/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
@@ -67,12 +67,12 @@
     private final int[] counts = new int[Item.values().length];
 
     /** Adds one to the item. */
-    public void note(Item item) {
+    public void increment(Item item) {
         counts[item.ordinal()]++;
     }
 
     /** {@code name=count} for each item that is not zero, in the order of the items; resets all counts to zero. */
-    public String take() {
+    public String takeLine() {
         StringBuilder line = new StringBuilder();
         for (Item item : Item.values()) {
             int count = counts[item.ordinal()];
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -29,7 +29,7 @@
 import marlford.gateway.EngineApi.Request;
 import marlford.gateway.console.ServiceMetrics;
 import marlford.gateway.guard.ClientProgress;
-import marlford.gateway.guard.ClientProgress.Stopped;
+import marlford.gateway.guard.ClientProgress.Stall;
 import marlford.gateway.guard.Rule;
 import marlford.gateway.shutdown.LingeringClose;
 
@@ -133,7 +133,7 @@
         registry.addLingering(this);
         discardQueue();
         reader.discardInput(bytes -> {
-            if (!lingeringClose.read(bytes)) {
+            if (!lingeringClose.discard(bytes)) {
                 close(CloseReason.LAST_ANSWER);
             }
         });
@@ -190,7 +190,7 @@
             closeReason = reason;
             boolean answerDue = current != null || !queue.isEmpty();
             if (answerDue && reason.isWithoutClientFault() && channel.isActive()) {
-                node.rules.broken(Rule.CLOSED_UNANSWERED);
+                node.rules.countBreach(Rule.CLOSED_UNANSWERED);
             }
         }
         channel.close();
@@ -198,7 +198,7 @@
 
     /** Whether input is still read and discarded after the last answer. */
     boolean lingers(double now) {
-        return lingeringClose.goesOn(now);
+        return lingeringClose.isOpen(now);
     }
 
     /**
@@ -224,19 +224,19 @@
         if (!paused && !(channel.config().isAutoRead() && reader.isDrained())) {
             readToEnd(); // reading is paused, so this is the only way to notice that the client has stopped
         }
-        if (judge() == Stopped.NO) {
+        if (judge() == Stall.NO) {
             return;
         }
         readToEnd(); // input that already waits in the socket is late only because of this event loop
-        Stopped stopped = judge();
-        if (stopped != Stopped.NO && channel.isActive()) {
+        Stall stopped = judge();
+        if (stopped != Stall.NO && channel.isActive()) {
             endStopped(stopped);
         }
     }
 
-    private Stopped judge() {
+    private Stall judge() {
         recordOutputProgress();
-        return ClientProgress.judge(node.clock.now(), progress());
+        return ClientProgress.findStall(node.clock.now(), progress());
     }
 
     private ClientProgress.Connection progress() {
@@ -255,13 +255,13 @@
         unsentBytes = pendingBytes;
     }
 
-    private void endStopped(Stopped stopped) {
-        node.rules.clientEnded(ClientProgress.stoppedMs(node.clock.now(), stopped, progress()));
+    private void endStopped(Stall stopped) {
+        node.rules.stalledClientEnded(ClientProgress.stalledMs(node.clock.now(), stopped, progress()));
         keepAlive = false;
-        if (stopped == Stopped.READING) { // not a switch, whose helper class might have to be loaded with no descriptor left
+        if (stopped == Stall.READING) { // not a switch, whose helper class might have to be loaded with no descriptor left
             channel.config().setOption(ChannelOption.SO_LINGER, 0); // discards unread output, which would precede the close
             close(CloseReason.STALLED_OUTPUT);
-        } else if (stopped == Stopped.BEFORE_FIRST_REQUEST) {
+        } else if (stopped == Stall.BEFORE_FIRST_REQUEST) {
             registry.remove(this);
             close(CloseReason.SILENT);
         } else if (upload != null) {
--- a/gateway/src/main/java/marlford/gateway/net/ClientServer.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientServer.java
@@ -31,7 +31,7 @@
     /** Opens the listener; clients are served once the returned future has succeeded. */
     ChannelFuture start() {
         if (node.isDraining()) {
-            node.rules.broken(Rule.LISTENED_WHILE_ENDING);
+            node.rules.countBreach(Rule.LISTENED_WHILE_ENDING);
         }
         AcceptRetry retry = new AcceptRetry(Node::log, this::onDescriptorShortage, node.clock::now);
         ChannelFuture bound = node.transport.server(node.group)
@@ -39,7 +39,7 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        new ClientConnection(node, connections, requestParser, ch, ++acceptedCount, retry.waitedMs())
+                        new ClientConnection(node, connections, requestParser, ch, ++acceptedCount, retry.backlogWaitMs())
                                 .addTo(ch.pipeline());
                     }
                 }).bind(node.transport.at(node.config.listen()));
@@ -77,10 +77,10 @@
         }
         acceptingBacklog = true;
         for (int i = 0; i <= Transport.BACKLOG; i++) { // each call accepts at least one connection unless all calls fail
-            long callsBefore = acceptRetry.calls();
+            long callsBefore = acceptRetry.acceptCalls();
             listener.config().setAutoRead(true); // a failed accept may have paused it; one connection is accepted per call then
             Transport.readNow(listener);
-            if (acceptRetry.calls() == callsBefore) {
+            if (acceptRetry.acceptCalls() == callsBefore) {
                 break;
             }
         }
@@ -148,7 +148,7 @@
                 connection.close(CloseReason.IO_ERROR);
             }
         }
-        if (now - node.releasingSinceMs() > node.shutdownSchedule.acceptsMs()) {
+        if (now - node.releasingSinceMs() > node.shutdownSchedule.acceptUntilMs()) {
             connections.closeIdleForRelease(now);
         }
         connections.closeIdle(now);
--- a/gateway/src/main/java/marlford/gateway/net/Discovery.java
+++ b/gateway/src/main/java/marlford/gateway/net/Discovery.java
@@ -96,7 +96,7 @@
             return;
         }
         hasList = !entries.isEmpty();
-        notifyNode(list.known(hosts(entries), cached.path("version").asLong(HostList.NONE)), entries);
+        notifyNode(list.loadCached(hosts(entries), cached.path("version").asLong(HostList.NO_VERSION)), entries);
     }
 
     /**
@@ -117,10 +117,10 @@
             return;
         }
         Node.log("discovery: changing from agent " + agent + " to " + address + "; the list has version "
-                + list.version(agent) + " and is " + (long) list.ageMs(node.clock.now()) + " ms old");
+                + list.heldVersion(agent) + " and is " + (long) list.ageMs(node.clock.now()) + " ms old");
         agent = address;
         failures = 0;
-        backoff.moved();
+        backoff.agentChanged();
         resetFailureLog();
         if (!started) {
             return;
@@ -136,7 +136,7 @@
 
     /** Replaces the set of hosts that operators have excluded. */
     void leaveOut(Set<String> ids) {
-        List<Host> changes = list.leaveOut(node.clock.now(), ids);
+        List<Host> changes = list.setExcluded(node.clock.now(), ids);
         if (!changes.isEmpty()) {
             node.hostsTold(ListKind.CHANGES, withAddresses(changes, Map.of()));
         }
@@ -165,22 +165,22 @@
 
     /** Returns the ids of the hosts on the list, whatever their state. */
     Set<String> listed() {
-        return list.listed();
+        return list.listedIds();
     }
 
     /** Records a response of a host, as evidence that it is alive while the list is old. */
     void served(String host) {
-        list.served(node.clock.now(), host);
+        list.hostAnswered(node.clock.now(), host);
     }
 
     /** Opens a connection to the agent, which then replaces the current one. */
     private void connect() {
         AgentConnection connection = new AgentConnection(agent);
         current = connection;
-        backoff.called(node.clock.now());
+        backoff.callStarted(node.clock.now());
         new Bootstrap().group(node.loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) backoff.connectMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) backoff.connectTimeoutMs())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
@@ -206,7 +206,7 @@
         logOnce(cause, tooLong);
         long delayMs = retryDelayMs(connection, cause);
         if (connection.rejected) {
-            list.goOnFromKnown(agent);
+            list.continueFromCached(agent);
         }
         // A start does not wait for a retry where the agent has rejected the call or its list is too long.
         if (++failures >= FAILURES_UNTIL_UNAVAILABLE || connection.rejected || tooLong) {
@@ -246,20 +246,20 @@
     private long retryDelayMs(AgentConnection connection, Throwable cause) {
         double now = node.clock.now();
         if (connection.rejected) {
-            return backoff.turnedAway(now);
+            return backoff.waitAfterRejection(now);
         }
         if (connection.watchTimedOut) {
-            return backoff.fellSilent();
+            return backoff.waitAfterLongPollTimeout();
         }
         if (cause instanceof ListTooLongException) {
-            return backoff.tooLong(now);
+            return backoff.waitAfterTooLongList(now);
         }
-        return connection.invalidResponse ? backoff.unusable(now) : backoff.broke(now);
+        return connection.invalidResponse ? backoff.waitAfterUnusableAnswer(now) : backoff.waitAfterFailure(now);
     }
 
     /** Calls the agent again. If it was unavailable or its whole list is needed, the gateways take turns to fetch the list. */
     private void callAgain(AgentConnection failed) {
-        if (onFirstList != null || failures < FAILURES_UNTIL_UNAVAILABLE && list.version(agent) != HostList.NONE) {
+        if (onFirstList != null || failures < FAILURES_UNTIL_UNAVAILABLE && list.heldVersion(agent) != HostList.NO_VERSION) {
             connect();
             return;
         }
@@ -272,7 +272,7 @@
         });
         node.lists().due(calledAgent.toString(), turn);
         if (!done.get()) {
-            node.loop.schedule(() -> turn.accept(null), backoff.turnMs(node.clock.now()), TimeUnit.MILLISECONDS);
+            node.loop.schedule(() -> turn.accept(null), backoff.sharedFetchWaitMs(node.clock.now()), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -292,7 +292,7 @@
     private void onTurn(AgentConnection failed, InetSocketAddress calledAgent, SharedListFetch.Told fetched) {
         // For a while, a list is rejected whose agent has restarted its versions.
         if (fetched != null && !applyFetched(calledAgent, fetched)) {
-            node.loop.schedule(() -> retry(failed), backoff.broke(node.clock.now()), TimeUnit.MILLISECONDS);
+            node.loop.schedule(() -> retry(failed), backoff.waitAfterFailure(node.clock.now()), TimeUnit.MILLISECONDS);
             return;
         }
         if (fetched != null) {
@@ -327,23 +327,23 @@
     private boolean applyUpdate(InetSocketAddress sender, HostListAnswer update) throws ListTooLongException {
         List<Entry> entries = update.entries();
         List<Host> hosts = hosts(entries);
-        if (!update.full() && list.listedWith(hosts) > hostLimit.hosts()) {
+        if (!update.full() && list.listedCountAfter(hosts) > hostLimit.hosts()) {
             throw new ListTooLongException(hostLimit.hosts());
         }
-        HostList.Told result = list.heard(node.clock.now(), sender, update.version(), update.full(), hosts);
-        hasList |= result.taken();
-        if (result.taken() && (result.kind() == ListKind.FULL || !result.hosts().isEmpty())) {
+        HostList.Update result = list.receive(node.clock.now(), sender, update.version(), update.full(), hosts);
+        hasList |= result.accepted();
+        if (result.accepted() && (result.kind() == ListKind.FULL || !result.hosts().isEmpty())) {
             if (result.kind() == ListKind.FULL) {
                 Node.log("discovery: agent " + sender + " lists " + result.hosts().size() + " hosts, version " + update.version());
             }
             try {
                 notifyNode(result, entries);
             } catch (RuntimeException e) { // otherwise these changes would never reach the node
-                list.lost();
+                list.requireFullList();
                 throw e;
             }
         }
-        return result.taken();
+        return result.accepted();
     }
 
     /** Runs the callback of the start, once. */
@@ -360,7 +360,7 @@
         node.loop.schedule(this::checkAge, AGE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         double now = node.clock.now();
         List<Host> changes = list.review(now);
-        boolean stale = list.ageMs(now) > HostList.Limits.DEFAULT.vouchMs();
+        boolean stale = list.ageMs(now) > HostList.Limits.DEFAULT.staleAfterMs();
         if (stale && !ageLogged) {
             Node.log("discovery: the list of hosts is " + (long) list.ageMs(now) + " ms old; check that the agent responds; hosts "
                     + "that have not answered in that time get no new requests: " + changes.size());
@@ -372,7 +372,7 @@
     }
 
     /** Passes the result of an update to the node, with the addresses of its entries. */
-    private void notifyNode(HostList.Told result, List<Entry> from) {
+    private void notifyNode(HostList.Update result, List<Entry> from) {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         for (Entry e : from) {
             addresses.put(e.host().id(), e.address());
@@ -436,10 +436,11 @@
 
         /** Sends the next call: for the whole list if it is needed, otherwise a watch for changes. */
         private void call() {
-            long from = list.version(address);
-            wholeListRequested = from == HostList.NONE;
+            long from = list.heldVersion(address);
+            wholeListRequested = from == HostList.NO_VERSION;
             double now = node.clock.now();
-            long timeoutMs = wholeListRequested ? backoff.patienceMs() : this == current ? backoff.watchMs(now) : PollingBackoff.WATCH_MS;
+            long timeoutMs = wholeListRequested ? backoff.answerTimeoutMs()
+                    : this == current ? backoff.longPollTimeoutMs(now) : PollingBackoff.DEFAULT_LONG_POLL_TIMEOUT_MS;
             String uri = wholeListRequested ? SERVERS_PATH : SERVERS_PATH + "?from=" + from + "&hold_ms=" + backoff.holdMs(timeoutMs);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
                     Unpooled.EMPTY_BUFFER);
@@ -462,7 +463,7 @@
                 return;
             }
             double now = node.clock.now();
-            double deadline = Math.min(lastPartAt + backoff.patienceMs(), backoff.nextCallBy());
+            double deadline = Math.min(lastPartAt + backoff.answerTimeoutMs(), backoff.nextCallDeadlineMs());
             if (responseStarted && channel.isActive() && now < deadline) {
                 timeout = node.loop.schedule(this::onTimeout, (long) Math.ceil(deadline - now), TimeUnit.MILLISECONDS);
                 return;
@@ -503,7 +504,7 @@
                 throw new IOException("expected status 200, but the agent answered " + response.status());
             }
             HostListAnswer update = response.list();
-            long versionBefore = list.version(address);
+            long versionBefore = list.heldVersion(address);
             boolean accepted = applyUpdate(address, update);
             if (holdsTurn) { // even if it was not accepted here: other gateways decide for themselves
                 setHoldsTurn(false);
@@ -528,7 +529,7 @@
                     replaced.close();
                 }
             }
-            long delayMs = this == current ? backoff.answered(node.clock.now()) : 0;
+            long delayMs = this == current ? backoff.waitAfterAnswer(node.clock.now()) : 0;
             if (keepAlive && delayMs == 0) {
                 call(); // at once, so that no change is missed in between
             } else if (keepAlive) {
@@ -552,7 +553,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             invalidResponse = !(cause instanceof IOException) || cause instanceof UnreadableListException;
             if (cause instanceof UnreadableListException && (this == current || this == previous)) {
-                list.lost(); // its changes are lost; the whole list includes them
+                list.requireFullList(); // its changes are lost; the whole list includes them
             }
             ctx.close();
             failed(this, cause);
--- a/gateway/src/main/java/marlford/gateway/net/HostListParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListParser.java
@@ -33,7 +33,7 @@
     private Position position = Position.START;
     private int skippedDepth; // nesting depth within an unknown value; 0 outside of one
     private String field = "";
-    private long version = HostList.NONE;
+    private long version = HostList.NO_VERSION;
     private boolean full;
     private int invalidEntries;
 
@@ -112,7 +112,7 @@
         } else if (token.isStructStart()) {
             skippedDepth = 1;
         } else if (field.equals("version")) {
-            version = parser.getValueAsLong(HostList.NONE);
+            version = parser.getValueAsLong(HostList.NO_VERSION);
         } else if (field.equals("full")) {
             full = parser.getValueAsBoolean(false);
         }
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -174,11 +174,11 @@
         NodeConfig config = reloader.first();
         RuntimeDirectory runtimeDirectory = RuntimeDirectory.in(folder, config.name(), config.listen());
         Predecessor predecessor = runtimeDirectory == null ? null
-                : Predecessor.find(runtimeDirectory.successor(), budget.limitMs(Step.HELLO));
+                : Predecessor.find(runtimeDirectory.successor(), budget.limitMs(Step.PREDECESSOR_REPLY));
         // The address may be held by a process of an earlier version or by an unrelated program.
         if (runtimeDirectory != null && predecessor == null && !Transport.TCP.isFree(config.listen())) {
             RuntimeDirectory earlierVersion = RuntimeDirectory.before(folder, config.name());
-            predecessor = Predecessor.find(earlierVersion.successor(), budget.limitMs(Step.HELLO));
+            predecessor = Predecessor.find(earlierVersion.successor(), budget.limitMs(Step.PREDECESSOR_REPLY));
             runtimeDirectory = predecessor == null ? runtimeDirectory
                     : new RuntimeDirectory(earlierVersion.excludedHosts(), runtimeDirectory.successor());
         }
@@ -242,7 +242,7 @@
         openConsole(null);
         CountDownLatch listReceived = new CountDownLatch(1);
         try {
-            boolean tookOver = predecessor != null && predecessor.take(budget.limitMs(Step.TAKEN));
+            boolean tookOver = predecessor != null && predecessor.take(budget.limitMs(Step.LEDGERS_RELEASED));
             if (!tookOver) {
                 StartRetry.call(() -> {
                     transport.claim(config.listen());
@@ -258,16 +258,16 @@
                 }
                 beginServing();
                 if (!tookOver) { // during an upgrade the gateway stays in service
-                    discovery.awaitList(budget.unhealthyMs(!isMissed()));
+                    discovery.awaitList(budget.maxUnhealthyMs(!isMissed()));
                 }
                 discovery.start(listReceived::countDown);
             }).sync();
             // Without an answer from discovery the host list from before the start is used.
-            listReceived.await(budget.limitMs(Step.WORD), TimeUnit.MILLISECONDS);
+            listReceived.await(budget.limitMs(Step.FIRST_DISCOVERY_ANSWER), TimeUnit.MILLISECONDS);
             if (!StartRetry.call(this::openListener)) {
                 return false;
             }
-            if (tookOver && !predecessor.serving(budget.limitMs(Step.LEFT))) {
+            if (tookOver && !predecessor.serving(budget.limitMs(Step.LISTENER_RELEASED))) {
                 log("upgrade: the previous process did not confirm in time that it stopped accepting; check that it has ended");
             }
             adminCommands.setReady(!tookOver || !predecessor.away());
@@ -690,7 +690,7 @@
         if (!entry.isClosed()) {
             figures.closed();
             if (entry.client() != null && clock.now() > entry.request.deadlineMs() + LATE_ANSWER_LIMIT_MS) {
-                rules.broken(Rule.ANSWERED_LATE);
+                rules.countBreach(Rule.ANSWERED_LATE);
             }
         }
         return entry.close();
@@ -756,19 +756,19 @@
         if (attempt.number == 0) {
             return false;
         }
-        List<AttemptGuard.Earlier> earlierAttempts = new ArrayList<>();
+        List<AttemptGuard.EarlierAttempt> earlierAttempts = new ArrayList<>();
         for (Attempt earlier : attempt.owner.attempts) {
             if (earlier != attempt) {
-                earlierAttempts.add(new AttemptGuard.Earlier(earlier.outcome, earlier.sentAtMs, hostStates.host(earlier.host)));
+                earlierAttempts.add(new AttemptGuard.EarlierAttempt(earlier.outcome, earlier.sentAtMs, hostStates.host(earlier.host)));
             }
         }
         RequestClass requestClass = requestClass(attempt.owner.request);
-        Rule broken = AttemptGuard.brokenByRepeat(now, requestClass, config.settings().limits(), earlierAttempts,
+        Rule broken = AttemptGuard.ruleBrokenByRepeat(now, requestClass, config.settings().limits(), earlierAttempts,
                 hostStates.host(attempt.host));
         if (broken == null) {
             return false;
         }
-        rules.broken(broken);
+        rules.countBreach(broken);
         log("defect: prevented " + broken + " of request " + attempt.owner.request.id());
         return true;
     }
@@ -867,17 +867,17 @@
         double now = clock.now();
         departures.recordSend(now - attempt.owner.disconnectedAtMs);
         if (now - attempt.owner.disconnectedAtMs > ClientDepartureCounters.SEND_GRACE_MS) {
-            rules.broken(Rule.SENT_FOR_LEFT_CLIENT);
+            rules.countBreach(Rule.SENT_FOR_LEFT_CLIENT);
         }
         double grace = config.settings().rules().drainGraceMs();
         if (grace > 0 && AttemptGuard.isDrained(now, hostStates.state(attempt.host), hostStates.sinceMs(attempt.host), grace)) {
-            rules.broken(Rule.SENT_TO_DRAINING);
+            rules.countBreach(Rule.SENT_TO_DRAINING);
         }
         if (now > attempt.owner.request.deadlineMs()) {
-            rules.broken(Rule.SENT_AFTER_DEADLINE);
+            rules.countBreach(Rule.SENT_AFTER_DEADLINE);
         }
         if (attempt.owner.isClosed()) {
-            rules.broken(Rule.SENT_AFTER_ANSWER);
+            rules.countBreach(Rule.SENT_AFTER_ANSWER);
         }
     }
 
@@ -908,10 +908,10 @@
      * that long before it starts a replacement.
      */
     private void drainAndHalt() {
-        long exitNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) shutdownSchedule.exitsMs());
+        long exitNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) shutdownSchedule.exitMs());
         loop.execute(this::drain);
         try {
-            awaitDrained((long) shutdownSchedule.exitsMs());
+            awaitDrained((long) shutdownSchedule.exitMs());
             if (isMissed() && !replaced && !endedBeforeServing) {
                 log("drained: keeps books (quota ledgers) for the other gateways until the scheduled exit time");
                 TimeUnit.NANOSECONDS.sleep(exitNanos - System.nanoTime());
@@ -935,7 +935,7 @@
             drained.countDown();
             return;
         }
-        drainAfter(isMissed() && !releasesClients() ? shutdownSchedule.staysMs() : 0);
+        drainAfter(isMissed() && !releasesClients() ? shutdownSchedule.keepClientsUntilMs() : 0);
     }
 
     /** @param stayMs for how long clients may send further requests on open connections */
@@ -948,13 +948,14 @@
         } else {
             loop.schedule(this::leave, toMicros(stayMs), TimeUnit.MICROSECONDS);
         }
-        loop.schedule(clients::stopAccepting, toMicros(shutdownSchedule.acceptsMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(clients::stopAccepting, toMicros(shutdownSchedule.acceptUntilMs()), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
             clients.giveUpIdle();
             awaitEmpty();
-        }, toMicros(Math.max(shutdownSchedule.acceptsMs() + DRAIN_POLL_MS, stayMs)), TimeUnit.MICROSECONDS);
-        loop.schedule(this::endAll, toMicros(shutdownSchedule.endsMs()), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> deliver((now, events) -> events.onShutdown(now)), toMicros(shutdownSchedule.saysMs()), TimeUnit.MICROSECONDS);
+        }, toMicros(Math.max(shutdownSchedule.acceptUntilMs() + DRAIN_POLL_MS, stayMs)), TimeUnit.MICROSECONDS);
+        loop.schedule(this::endAll, toMicros(shutdownSchedule.abandonMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> deliver((now, events) -> events.onShutdown(now)), toMicros(shutdownSchedule.peerFarewellMs()),
+                TimeUnit.MICROSECONDS);
     }
 
     /** From here on every answer closes its connection. */
--- a/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
+++ b/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
@@ -17,7 +17,7 @@
 import marlford.gateway.EngineApi.Settings;
 import marlford.gateway.wire.Fields;
 import marlford.gateway.wire.SettingsReader;
-import marlford.gateway.wire.WireFault;
+import marlford.gateway.wire.WireFormatException;
 
 /**
  * The configuration of an api gateway as read from its file. Missing or malformed content is reported as
@@ -74,7 +74,7 @@
             return of(JsonTree.read(new ByteArrayInputStream(text)));
         } catch (IOException e) {
             throw new BadConfig("can't read " + file + ": " + firstLine(e));
-        } catch (WireFault | IllegalArgumentException e) {
+        } catch (WireFormatException | IllegalArgumentException e) {
             throw new BadConfig(file + ": " + e.getMessage());
         }
     }
@@ -87,7 +87,7 @@
      * Reads the configuration from a JSON tree.
      *
      * @throws IllegalArgumentException if a value is missing, malformed or out of range
-     * @throws WireFault if a setting of the decision engine is missing or malformed
+     * @throws WireFormatException if a setting of the decision engine is missing or malformed
      */
     static NodeConfig of(JsonNode root) {
         if (!root.isObject()) {
@@ -102,7 +102,7 @@
         for (JsonNode peer : root.path("peers")) {
             peers.add(address(peer.asText()));
         }
-        boolean peerMessages = settings.limits().peers() && root.hasNonNull("peer_listen");
+        boolean peerMessages = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
         String console = root.hasNonNull("console") ? text(root, "console") : System.getenv("NODE_CONSOLE");
         return new NodeConfig(root.path("name").asText(), console == null || console.isEmpty() ? null : address(console),
                 address(text(root, "listen")), address(text(root, "discovery")),
--- a/gateway/src/main/java/marlford/gateway/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -147,7 +147,7 @@
     /** Records that 100 Continue is sent. The client gets some time from here on, however long it has waited. */
     void continueSent() {
         expectsContinue = false;
-        double latestMs = clock.now() - ClientProgress.WAITED_MS;
+        double latestMs = clock.now() - ClientProgress.CHARGED_WAIT_MS;
         requestSinceMs = Math.max(requestSinceMs, latestMs);
         lastReadMs = Math.max(lastReadMs, latestMs);
     }
--- a/gateway/src/main/java/marlford/gateway/net/SettingsValidator.java
+++ b/gateway/src/main/java/marlford/gateway/net/SettingsValidator.java
@@ -31,7 +31,7 @@
             String prefix = "classes." + requestClass.name() + ".";
             require(classNames.add(requestClass.name()), prefix + "name", 2, "1 (the number of request classes with this name)");
             require(requestClass.deadlineMs() > 0, prefix + "hard_limit_ms", requestClass.deadlineMs(), "above 0");
-            require(requestClass.aimMs() > 0, prefix + "goal_time_ms", requestClass.aimMs(), "above 0");
+            require(requestClass.goalMs() > 0, prefix + "goal_time_ms", requestClass.goalMs(), "above 0");
             require(requestClass.worth() >= 0, prefix + "worth", requestClass.worth(), "0 or more");
             require(requestClass.lateValue() >= 0, prefix + "late_value", requestClass.lateValue(), "0 or more");
             require(requestClass.effect() != Effect.KEYED || requestClass.windowMs() > 0, prefix + "window_ms", requestClass.windowMs(),
@@ -51,7 +51,7 @@
         validateRules(settings.rules());
         Sharing sharing = settings.sharing();
         require(sharing.maxUnits() > 0, "specifics.max_units", sharing.maxUnits(), "above 0");
-        require(sharing.mailPerSecond() >= 0, "specifics.mail_per_s", sharing.mailPerSecond(), "0 or more");
+        require(sharing.messagesPerSecond() >= 0, "specifics.mail_per_s", sharing.messagesPerSecond(), "0 or more");
         return settings;
     }
 
@@ -62,9 +62,9 @@
 
     private static void validateRules(Rules rules) {
         require(rules.drainGraceMs() >= 0, "rules.drain_grace_ms", rules.drainGraceMs(), "0 or more");
-        require(rules.fallMs() >= 0, "rules.fall_ms", rules.fallMs(), "0 or more");
-        require(rules.fallMultiple() > 0, "rules.fall_multiple", rules.fallMultiple(), "above 0");
-        require(rules.coldFrom() >= 0 && rules.coldFrom() <= 1, "rules.cold_from", rules.coldFrom(), "between 0 and 1");
+        require(rules.overloadWindowMs() >= 0, "rules.fall_ms", rules.overloadWindowMs(), "0 or more");
+        require(rules.overloadFactor() > 0, "rules.fall_multiple", rules.overloadFactor(), "above 0");
+        require(rules.coldShare() >= 0 && rules.coldShare() <= 1, "rules.cold_from", rules.coldShare(), "between 0 and 1");
         require(rules.warmWithinMs() >= 0, "rules.warm_within_ms", rules.warmWithinMs(), "0 or more");
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/WarmUp.java
+++ b/gateway/src/main/java/marlford/gateway/net/WarmUp.java
@@ -190,10 +190,10 @@
         Settings base = config.settings();
         Sharing sharing = base.sharing();
         // Tiers of hundreds of gateways share quotas by different code; the two nodes are then the first of a tier of that size.
-        boolean largeTier = QuotaCoordinator.isFor(base.gateways(), sharing.mailPerSecond());
+        boolean largeTier = QuotaCoordinator.isFor(base.gateways(), sharing.messagesPerSecond());
         Sharing unlimitedSharing = new Sharing(sharing.counter(), sharing.counterPrice(), sharing.meterPeriodMs(),
-                sharing.postPaid(), sharing.maxUnits(), largeTier ? sharing.mailPerSecond() : UNLIMITED_MESSAGES_PER_SECOND,
-                sharing.peerPrice(), sharing.probePrice(), sharing.zonePrice());
+                sharing.postPaid(), sharing.maxUnits(), largeTier ? sharing.messagesPerSecond() : UNLIMITED_MESSAGES_PER_SECOND,
+                sharing.peerPrice(), sharing.probePrice(), sharing.crossZonePrice());
         Settings settings = new Settings(base.seed(), index, largeTier ? base.gateways() : 2, base.zone(), false, base.classes(),
                 base.plans(), base.reportNames(), base.limits(), base.rules(), unlimitedSharing);
         return new NodeConfig(config.name(), null, address(index), null, null, List.of(), null, config.sockets(),
--- a/gateway/src/main/java/marlford/gateway/shutdown/LingeringClose.java
+++ b/gateway/src/main/java/marlford/gateway/shutdown/LingeringClose.java
@@ -23,13 +23,13 @@
     }
 
     /** Records bytes that were read and discarded; returns whether reading may continue. */
-    public boolean read(int bytes) {
+    public boolean discard(int bytes) {
         discardedBytes += bytes;
         return discardedBytes <= MAX_DISCARDED_BYTES;
     }
 
     /** Whether the time limit allows further reading. */
-    public boolean goesOn(double now) {
+    public boolean isOpen(double now) {
         return now < deadlineMs;
     }
 }
--- a/gateway/src/main/java/marlford/gateway/shutdown/ShutdownSchedule.java
+++ b/gateway/src/main/java/marlford/gateway/shutdown/ShutdownSchedule.java
@@ -5,23 +5,23 @@
  * deadline, {@value #MAX_DEADLINE_MS} ms at most, plus {@value #PLATFORM_GRACE_MS} ms. Deadlines differ between deployments, so
  * the phases are derived from them and not fixed.
  *
- * <p>In order: clients may go on sending requests over their open connections until {@link #staysMs}; the listener closes at
- * {@link #acceptsMs}; at {@link #endsMs} all requests in progress are abandoned and answered, and requests that still arrive are
- * answered immediately; at {@link #saysMs} peers are told to use other gateways; at {@link #exitsMs} the process exits. The time
+ * <p>In order: clients may go on sending requests over their open connections until {@link #keepClientsUntilMs}; the listener closes at
+ * {@link #acceptUntilMs}; at {@link #abandonMs} all requests in progress are abandoned and answered, and requests that still arrive are
+ * answered immediately; at {@link #peerFarewellMs} peers are told to use other gateways; at {@link #exitMs} the process exits. The time
  * between that and SIGKILL is for a late event loop.
  *
  * <p>Pure: no clock and no I/O. Times that are not derived from deadlines depend on the process only, and are the same for every
  * deployment.
  *
- * @param staysMs if other gateways serve too, clients' connections stay open until then; 0 closes them immediately
- * @param acceptsMs new connections are accepted until then
- * @param endsMs attempts are abandoned, and no more are sent
- * @param saysMs the farewell to peers is sent
- * @param exitsMs the process exits, whether or not every request was answered
- * @param killedMs the platform may kill the process from then on
+ * @param keepClientsUntilMs if other gateways serve too, clients' connections stay open until then; 0 closes them immediately
+ * @param acceptUntilMs new connections are accepted until then
+ * @param abandonMs attempts are abandoned, and no more are sent
+ * @param peerFarewellMs the farewell to peers is sent
+ * @param exitMs the process exits, whether or not every request was answered
+ * @param killMs the platform may kill the process from then on
  */
-public record ShutdownSchedule(double staysMs, double acceptsMs, double endsMs, double saysMs, double exitsMs,
-        double killedMs) {
+public record ShutdownSchedule(double keepClientsUntilMs, double acceptUntilMs, double abandonMs, double peerFarewellMs, double exitMs,
+        double killMs) {
     /** The longest deadline that the platform waits for. */
     static final double MAX_DEADLINE_MS = 3000;
     /** Time that the platform grants beyond the longest deadline. */
--- a/gateway/src/main/java/marlford/gateway/start/StartBudget.java
+++ b/gateway/src/main/java/marlford/gateway/start/StartBudget.java
@@ -35,17 +35,17 @@
     /** What a start waits for, in order. */
     public enum Step {
         /** The running process's first answer. A separate thread gives it, so its event loop may be late. */
-        HELLO(READY_MS),
+        PREDECESSOR_REPLY(READY_MS),
         /** Synthetic requests, while another process serves, so that the code is compiled before the first real requests. */
         WARM_UP(READY_MS),
         /** The same if no process serves: clients connect once the whole tier is ready. A tier that serves cuts it short. */
         WARM_UP_ALONE(ALONE_READY_MS),
         /** The running process releases its peer connections and ledgers. */
-        TAKEN(PLATFORM_MS - HEALTH_CHECK_RESERVE_MS - LIST_AND_LISTENER_MS),
+        LEDGERS_RELEASED(PLATFORM_MS - HEALTH_CHECK_RESERVE_MS - LIST_AND_LISTENER_MS),
         /** Discovery's first answer, for {@value #FIRST_ANSWER_MS} ms at most; without it the list cached before the start is used. */
-        WORD(READY_MS - LATE_STEP_MS),
+        FIRST_DISCOVERY_ANSWER(READY_MS - LATE_STEP_MS),
         /** The running process has stopped accepting; if it does not confirm that, the new process serves beside it. */
-        LEFT(PLATFORM_MS - HEALTH_CHECK_RESERVE_MS);
+        LISTENER_RELEASED(PLATFORM_MS - HEALTH_CHECK_RESERVE_MS);
 
         private final long deadlineMs; // since the process began
 
@@ -74,7 +74,7 @@
         long left = step.deadlineMs - now;
         return switch (step) {
             case WARM_UP, WARM_UP_ALONE -> Math.max(0, left - (long) (AFTER_WARM_UP_SHARE * now));
-            case WORD -> Math.min(FIRST_ANSWER_MS, Math.max(LATE_STEP_MS, left));
+            case FIRST_DISCOVERY_ANSWER -> Math.min(FIRST_ANSWER_MS, Math.max(LATE_STEP_MS, left));
             default -> Math.max(LATE_STEP_MS, left);
         };
     }
@@ -84,7 +84,7 @@
      *
      * @param alone whether no other process serves; the platform then waits longer
      */
-    public long unhealthyMs(boolean alone) {
+    public long maxUnhealthyMs(boolean alone) {
         return Math.max(LATE_STEP_MS, (alone ? ALONE_READY_MS : PLATFORM_MS - HEALTH_CHECK_RESERVE_MS) - age.getAsLong());
     }
 
--- a/gateway/src/main/java/marlford/gateway/wire/Fields.java
+++ b/gateway/src/main/java/marlford/gateway/wire/Fields.java
@@ -3,7 +3,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The name=value pairs of one line. Every getter throws a {@link WireFault} that names the field if it is missing or malformed. */
+/**
+ * The name=value pairs of one line. Every getter throws a {@link WireFormatException} that names the field if it is missing
+ * or malformed.
+ */
 public final class Fields {
     private final Map<String, String> values = new TreeMap<>();
 
@@ -20,7 +23,7 @@
             int end = space < 0 ? text.length() : space;
             int equals = text.indexOf('=', start);
             if (equals <= start || equals >= end) {
-                throw new WireFault("not a name=value pair: '" + text.substring(start, end) + "'");
+                throw new WireFormatException("not a name=value pair: '" + text.substring(start, end) + "'");
             }
             values.put(text.substring(start, equals), text.substring(equals + 1, end));
             start = end + 1;
@@ -31,7 +34,7 @@
     private String required(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new WireFault("missing field '" + name + "'");
+            throw new WireFormatException("missing field '" + name + "'");
         }
         return value;
     }
@@ -45,7 +48,7 @@
     String text(String name) {
         String value = required(name);
         if (value.isEmpty()) {
-            throw new WireFault("empty field '" + name + "'");
+            throw new WireFormatException("empty field '" + name + "'");
         }
         return value;
     }
@@ -66,7 +69,7 @@
         } catch (NumberFormatException e) {
             // reported below, with the name of the field
         }
-        throw new WireFault("expected a number in '" + name + "', found '" + value + "'");
+        throw new WireFormatException("expected a number in '" + name + "', found '" + value + "'");
     }
 
     /** The finite number in an optional field, or {@code absent}. */
@@ -80,7 +83,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireFault("expected a whole number in '" + name + "', found '" + value + "'");
+            throw new WireFormatException("expected a whole number in '" + name + "', found '" + value + "'");
         }
     }
 
@@ -93,7 +96,7 @@
     int intValue(String name) {
         long value = longValue(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw new WireFault("expected a 32-bit number in '" + name + "', found '" + value + "'");
+            throw new WireFormatException("expected a 32-bit number in '" + name + "', found '" + value + "'");
         }
         return (int) value;
     }
@@ -112,7 +115,7 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new WireFault("expected 1, true, 0 or false in '" + name + "', found '" + value + "'");
+            default -> throw new WireFormatException("expected 1, true, 0 or false in '" + name + "', found '" + value + "'");
         };
     }
 
@@ -128,7 +131,7 @@
             try {
                 numbers[i] = Double.parseDouble(parts[i]);
             } catch (NumberFormatException e) {
-                throw new WireFault("expected numbers separated by commas in '" + name + "', found '" + value + "'");
+                throw new WireFormatException("expected numbers separated by commas in '" + name + "', found '" + value + "'");
             }
         }
         return numbers;
@@ -143,7 +146,7 @@
         try {
             return java.util.HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw new WireFault("expected pairs of hex digits in '" + name + "', found '" + value + "'");
+            throw new WireFormatException("expected pairs of hex digits in '" + name + "', found '" + value + "'");
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/wire/Main.java
+++ b/gateway/src/main/java/marlford/gateway/wire/Main.java
@@ -23,7 +23,7 @@
                 new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER_BYTES);
         try {
             new WireHost(in, out).run();
-        } catch (WireFault fault) {
+        } catch (WireFormatException fault) {
             System.err.println(fault.getMessage());
             System.exit(1);
         }
--- a/gateway/src/main/java/marlford/gateway/wire/SettingsReader.java
+++ b/gateway/src/main/java/marlford/gateway/wire/SettingsReader.java
@@ -18,7 +18,7 @@
     /**
      * The settings in these fields.
      *
-     * @throws WireFault if a required field is missing, or one is malformed
+     * @throws WireFormatException if a required field is missing, or one is malformed
      */
     public static Settings read(Fields f) {
         Limits limits = new Limits(f.intValue("limits.max_attempts", 1), f.flag("limits.may_duplicate", false),
@@ -69,7 +69,7 @@
             case "repeatable" -> Effect.REPEATABLE;
             case "by_key" -> Effect.KEYED;
             case "once" -> Effect.ONCE;
-            default -> throw new WireFault("expected effect repeatable, by_key or once, found '" + value + "'");
+            default -> throw new WireFormatException("expected effect repeatable, by_key or once, found '" + value + "'");
         };
     }
 
@@ -78,7 +78,7 @@
             case "all" -> Scope.ALL;
             case "zone" -> Scope.ZONE;
             case "cell" -> Scope.CELL;
-            default -> throw new WireFault("expected key scope all, zone or cell, found '" + value + "'");
+            default -> throw new WireFormatException("expected key scope all, zone or cell, found '" + value + "'");
         };
     }
 }
--- a/gateway/src/main/java/marlford/gateway/wire/WireHost.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireHost.java
@@ -34,7 +34,7 @@
     /**
      * Replies to batches until the input ends.
      *
-     * @throws WireFault if a line can't be processed; the message names the line and what is wrong with it
+     * @throws WireFormatException if a line can't be processed; the message names the line and what is wrong with it
      */
     void run() throws IOException {
         try {
@@ -44,8 +44,8 @@
                 }
                 batch();
             }
-        } catch (WireFault fault) {
-            throw new WireFault("line " + lineNumber + ": " + fault.getMessage());
+        } catch (WireFormatException fault) {
+            throw new WireFormatException("line " + lineNumber + ": " + fault.getMessage());
         }
     }
 
@@ -71,7 +71,7 @@
     /** Processes one batch, whose first line is the current one, and writes the reply. */
     private void batch() throws IOException {
         if (!nameOf(line).equals("BEGIN_BATCH")) {
-            throw new WireFault("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
+            throw new WireFormatException("expected BEGIN_BATCH, found '" + nameOf(line) + "'");
         }
         Fields head = fields();
         double now = head.number("moment_ms");
@@ -81,7 +81,7 @@
         long target = Long.MIN_VALUE;
         while (true) {
             if (!next()) {
-                throw new WireFault("input ended inside a batch");
+                throw new WireFormatException("input ended inside a batch");
             }
             String name = nameOf(line);
             if (name.equals("COMMIT")) {
@@ -103,7 +103,7 @@
     /** Passes the message on the current line on to the target instance. */
     private void event(double now, long target, String name) {
         if (target == Long.MIN_VALUE) {
-            throw new WireFault("'" + name + "' before any TARGET_INSTANCE");
+            throw new WireFormatException("'" + name + "' before any TARGET_INSTANCE");
         }
         Fields f = fields();
         if (name.equals("ATTACH")) {
@@ -118,7 +118,7 @@
         }
         DecisionEngine engine = engines.get(target);
         if (engine == null) {
-            throw new WireFault("'" + name + "' for an instance without an ATTACH: " + target);
+            throw new WireFormatException("'" + name + "' for an instance without an ATTACH: " + target);
         }
         switch (name) {
             case "MEMBERSHIP" -> membership(now, engine, f);
@@ -137,7 +137,7 @@
             case "FROM_PEER" -> engine.onPeerMessage(now, f.intValue("neighbour"), f.bytes("contents"));
             case "COUNTED" -> engine.onCounterResult(now, f.text("counter"), outcome(f.text("reason")),
                     f.number("reading", 0));
-            default -> throw new WireFault("unknown message '" + name + "'");
+            default -> throw new WireFormatException("unknown message '" + name + "'");
         }
     }
 
@@ -148,14 +148,14 @@
             case "F" -> ListKind.FULL;
             case "C" -> ListKind.CACHED;
             case "X" -> ListKind.FAILED;
-            default -> throw new WireFault("expected list kind D, F, C or X, found '" + how + "'");
+            default -> throw new WireFormatException("expected list kind D, F, C or X, found '" + how + "'");
         };
         List<Host> hosts = List.of();
         if (kind != ListKind.FAILED) {
             int page = f.intValue("page");
             hosts = hostsByPage.get(page);
             if (hosts == null) {
-                throw new WireFault("no CATALOG with page " + page);
+                throw new WireFormatException("no CATALOG with page " + page);
             }
         }
         engine.onHosts(now, kind, hosts);
@@ -168,7 +168,7 @@
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < members; i++) {
             if (!next() || !nameOf(line).equals("HOST")) {
-                throw new WireFault("expected " + members + " HOST lines, found " + i);
+                throw new WireFormatException("expected " + members + " HOST lines, found " + i);
             }
             Fields h = fields();
             hosts.add(new Host(h.text("host"), h.text("failure_domain", ""), h.text("shape", ""),
@@ -183,7 +183,7 @@
             case "Running" -> HostState.RUNNING;
             case "Stopping" -> HostState.DRAINING;
             case "Deleted" -> HostState.GONE;
-            default -> throw new WireFault("expected mode Running, Stopping or Deleted, found '" + value + "'");
+            default -> throw new WireFormatException("expected mode Running, Stopping or Deleted, found '" + value + "'");
         };
     }
 
@@ -197,7 +197,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
             case "Ignored" -> Outcome.MOOT;
-            default -> throw new WireFault("unknown outcome in 'reason': '" + value + "'");
+            default -> throw new WireFormatException("unknown outcome in 'reason': '" + value + "'");
         };
     }
 }
--- a/gateway/src/test/java/marlford/gateway/ColdHostSimulation.java
+++ b/gateway/src/test/java/marlford/gateway/ColdHostSimulation.java
@@ -71,7 +71,7 @@
         /** The share of its full speed that the host has at that time. */
         double speedShare(double at) {
             double warmUpShare = startedAt == 0 ? 1 : Math.max(0, at - startedAt) / RULES.warmWithinMs();
-            return Math.min(1, RULES.coldFrom() + (1 - RULES.coldFrom()) * warmUpShare);
+            return Math.min(1, RULES.coldShare() + (1 - RULES.coldShare()) * warmUpShare);
         }
 
         boolean isCold() {
@@ -82,10 +82,10 @@
             if (isCold()) {
                 arrivals.add(now);
                 coldHostAttempts++;
-                while (arrivals.peek() <= now - RULES.fallMs()) {
+                while (arrivals.peek() <= now - RULES.overloadWindowMs()) {
                     arrivals.poll();
                 }
-                worstLoad = Math.max(worstLoad, arrivals.size() / maxRequests(now - RULES.fallMs()));
+                worstLoad = Math.max(worstLoad, arrivals.size() / maxRequests(now - RULES.overloadWindowMs()));
             }
             if (running.size() + queue.size() >= cores * (1 + QUEUE_PER_CORE)) {
                 end(job, Outcome.FULL, name);
@@ -96,7 +96,7 @@
 
         /** The most requests that the host can bear in the window that begins then: N + 2 root N + 2. */
         private double maxRequests(double from) {
-            double allowed = RULES.fallMultiple() * speedShare(from) * cores / workMs * RULES.fallMs();
+            double allowed = RULES.overloadFactor() * speedShare(from) * cores / workMs * RULES.overloadWindowMs();
             return allowed + 2 * Math.sqrt(allowed) + 2;
         }
 
@@ -232,7 +232,7 @@
         for (double end = now + ms; now < end;) {
             now += STEP_MS;
             for (int i = 0; i < gateways.size(); i++) {
-                gateways.get(i).runTo(clockOf(i));
+                gateways.get(i).advanceTo(clockOf(i));
             }
             for (double due = perStep + random.nextDouble(); due >= 1; due--) {
                 sendRequest();
@@ -256,9 +256,9 @@
     private void deliver(int gateway) {
         FakeGateway g = gateways.get(gateway);
         while (!g.sent.isEmpty()) {
-            List<FakeGateway.Sent> sent = List.copyOf(g.sent);
+            List<FakeGateway.SentAttempt> sent = List.copyOf(g.sent);
             g.sent.clear();
-            for (FakeGateway.Sent s : sent) {
+            for (FakeGateway.SentAttempt s : sent) {
                 int attempt = attempts.merge(s.id(), 1, Integer::sum) - 1;
                 Job job = new Job(gateway, incarnations[gateway], s.id(), attempt, s.at(), -Math.log(1 - random.nextDouble()) * workMs);
                 SimHost host = hosts.get(s.host());
@@ -269,8 +269,8 @@
                 }
             }
         }
-        g.told.clear();
-        g.log.clear();
+        g.peerMessages.clear();
+        g.actions.clear();
     }
 
     private void end(Job job, Outcome outcome, String host) {
--- a/gateway/src/test/java/marlford/gateway/DecisionBenchmark.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionBenchmark.java
@@ -57,16 +57,16 @@
     @Benchmark
     public void request() {
         String id = "r" + requestCount++;
-        gateway.ask(id, "read");
-        gateway.end(id, 0, EngineApi.Outcome.OK, 5);
+        gateway.request(id, "read");
+        gateway.endAttempt(id, 0, EngineApi.Outcome.OK, 5);
         gateway.now += STEP_MS;
         if (requestCount % REQUESTS_PER_TICK == 0) {
             gateway.engine.onTimer(gateway.now, "beat");
         }
         if (requestCount % MAX_RECORDED_REQUESTS == 0) {
             gateway.sent.clear();
-            gateway.log.clear();
-            gateway.told.clear();
+            gateway.actions.clear();
+            gateway.peerMessages.clear();
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/DecisionsTest.java
+++ b/gateway/src/test/java/marlford/gateway/DecisionEngineTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Release of queued requests, class weights, host choice and health, determinism, and readability of the engine's source. */
-class DecisionsTest {
+class DecisionEngineTest {
     private static final int MAX_METHOD_LINES = 40; // non-blank, from the declaration to the closing brace
     private static final int MAX_LINE_LENGTH = 110;
 
@@ -40,8 +40,8 @@
         requestThatWaited(g, "old", 1300, 1, 1);
         requestThatWaited(g, "young", 300, 1, 1);
         assertEquals(List.of("old"), g.refused);
-        assertEquals(1, g.sends("young"));
-        assertEquals(0, g.sends("old"));
+        assertEquals(1, g.attempts("young"));
+        assertEquals(0, g.attempts("old"));
     }
 
     /** Guards against stalls of the gateway that count as latency of the hosts: requests that were hardly late were refused then. */
@@ -49,18 +49,18 @@
     void ownStallIsNotLearntAsHostLatency() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
         for (int i = 0; i < 20; i++) {
-            g.ask("s" + i, "read");
+            g.request("s" + i, "read");
             g.now += 900; // no tick runs, so the answer is read late
-            g.end("s" + i, 0, EngineApi.Outcome.OK, 900);
-            g.pass(40);
+            g.endAttempt("s" + i, 0, EngineApi.Outcome.OK, 900);
+            g.advance(40);
         }
         g.engine.onRequest(g.now, new EngineApi.Request("late", g.now + 2850, g.now - 150, false, "read", 1, "free", 1, 0, 1));
-        assertEquals(1, g.sends("late"));
-        g.end("late", 0, EngineApi.Outcome.OK, 900); // with all ticks it is the host's own latency
+        assertEquals(1, g.attempts("late"));
+        g.endAttempt("late", 0, EngineApi.Outcome.OK, 900); // with all ticks it is the host's own latency
         for (int i = 0; i < 20; i++) {
-            g.ask("t" + i, "read");
-            g.pass(900);
-            g.end("t" + i, 0, EngineApi.Outcome.OK, 900);
+            g.request("t" + i, "read");
+            g.advance(900);
+            g.endAttempt("t" + i, 0, EngineApi.Outcome.OK, 900);
         }
         g.engine.onRequest(g.now, new EngineApi.Request("slow", g.now + 2850, g.now - 150, false, "read", 1, "free", 1, 0, 1));
         assertEquals(List.of("slow"), g.refused);
@@ -77,16 +77,16 @@
         while (EngineState.rendezvousRanked(remoteCustomer, 0, 2, 2, 1)[0] == 0) {
             remoteCustomer++;
         }
-        g.pass(100); // timers run, and the minimum gap between messages has passed
+        g.advance(100); // timers run, and the minimum gap between messages has passed
         requestThatWaited(g, "queries", 0, 2, remoteCustomer);
-        assertEquals(0, g.sends("queries"));
+        assertEquals(0, g.attempts("queries"));
         requestThatWaited(g, "late", 200, 2, remoteCustomer);
-        assertEquals(1, g.sends("late"));
+        assertEquals(1, g.attempts("late"));
         g.now += 400; // a stall: the reply may be waiting unread
         g.engine.onTimer(g.now, "beat");
-        assertEquals(0, g.sends("queries") + g.answers("queries"));
-        g.pass(500); // the loop is on time again, and no reply arrives
-        assertEquals(1, g.sends("queries") + g.answers("queries"));
+        assertEquals(0, g.attempts("queries") + g.finalAnswers("queries"));
+        g.advance(500); // the loop is on time again, and no reply arrives
+        assertEquals(1, g.attempts("queries") + g.finalAnswers("queries"));
     }
 
     @Test
@@ -139,10 +139,10 @@
     void attemptsInFlightAreLimitedAndOtherRequestsAreQueuedOrRefused() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
         for (int i = 0; i < 200; i++) {
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
         }
         assertTrue(g.sent.size() >= 4 && g.sent.size() <= 40, "attempts sent: " + g.sent.size());
-        g.pass(1000);
+        g.advance(1000);
         assertTrue(g.refused.size() >= 150);
     }
 
@@ -150,11 +150,11 @@
     void freedSlotGoesToAQueuedRequest() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
         for (int i = 0; i < 30; i++) {
-            g.ask("r" + i, "read");
+            g.request("r" + i, "read");
         }
         int before = g.sent.size();
-        g.pass(10);
-        g.end("r0", 0, Outcome.OK, 10);
+        g.advance(10);
+        g.endAttempt("r0", 0, Outcome.OK, 10);
         assertEquals(before + 1, g.sent.size());
     }
 
@@ -164,12 +164,12 @@
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
         for (int i = 0; i < 60; i++) {
             String id = "r" + i;
-            g.ask(id, "read");
+            g.request(id, "read");
             boolean bad = g.hostOf(id).equals("a1");
-            g.pass(bad ? 1 : 30);
-            g.end(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
-            if (bad && g.sends(id) > 1) {
-                g.end(id, 1, Outcome.OK, 30);
+            g.advance(bad ? 1 : 30);
+            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, bad ? 1 : 30);
+            if (bad && g.attempts(id) > 1) {
+                g.endAttempt(id, 1, Outcome.OK, 30);
             }
         }
         assertTrue(g.sent.stream().filter(s -> s.host().equals("a1")).count() < 10);
@@ -179,18 +179,18 @@
     void overdueAttemptIsCancelledWhereTheRequestMayRunElsewhere() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1", "b2");
         for (int i = 0; i < 60; i++) {
-            g.ask("w" + i, "read");
-            g.pass(20);
-            g.end("w" + i, 0, Outcome.OK, 20);
+            g.request("w" + i, "read");
+            g.advance(20);
+            g.endAttempt("w" + i, 0, Outcome.OK, 20);
         }
-        g.ask("r", "read");
-        g.ask("p", "pay");
+        g.request("r", "read");
+        g.request("p", "pay");
         String stuck = g.hostOf("r");
-        g.pass(700);
+        g.advance(700);
         assertEquals(List.of("r"), g.cancelled); // a request that must not run twice is not cancelled
-        g.end("r", 0, Outcome.CANCELLED, 700);
+        g.endAttempt("r", 0, Outcome.CANCELLED, 700);
         assertNotEquals(stuck, g.hostOf("r"));
-        assertEquals(1, g.sends("p"));
+        assertEquals(1, g.attempts("p"));
     }
 
     /** Each of many gateways knows little about the hosts, so the best host by own counts would be the same one for all. */
@@ -201,7 +201,7 @@
         for (int me = 0; me < 300; me++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me)).withHosts(hosts);
             for (int i = 0; i < 3; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             g.sent.forEach(s -> got.merge(s.host(), 1, Integer::sum));
         }
@@ -223,7 +223,7 @@
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 300, me));
             g.engine.onHosts(g.now, ListKind.FULL, hosts);
             for (int i = 0; i < 3; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             total += g.sent.size();
             cold += (int) g.sent.stream().filter(s -> s.host().equals("a7")).count();
@@ -241,12 +241,12 @@
         for (int i = 0; i < 120; i++) {
             String cls = i % 2 == 0 ? "pay" : "read";
             String id = cls + i;
-            g.ask(id, cls);
+            g.request(id, cls);
             boolean bad = g.hostOf(id).equals("a1") && i % 2 == 0;
             orders += bad && i >= 30 ? 1 : 0;
             reads += g.hostOf(id).equals("a1") && i % 2 == 1 ? 1 : 0;
-            g.pass(20);
-            g.end(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
+            g.advance(20);
+            g.endAttempt(id, 0, bad ? Outcome.ERROR : Outcome.OK, 20);
         }
         assertTrue(orders < 5, "attempts of the failing class: " + orders);
         assertTrue(reads > 15, "attempts of the other class: " + reads);
@@ -260,11 +260,11 @@
         for (int me = 0; me < 379; me++) {
             FakeGateway g = new FakeGateway(1000, FakeGateway.settings(me, 379, me)).withHosts(hosts);
             for (int i = 0; i < 200; i++) {
-                g.ask("r" + i, "read");
-                g.pass(20);
-                g.end("r" + i, 0, Outcome.OK, 20);
+                g.request("r" + i, "read");
+                g.advance(20);
+                g.endAttempt("r" + i, 0, Outcome.OK, 20);
             }
-            g.sent.stream().map(FakeGateway.Sent::host).distinct().forEach(h -> met.merge(h, 1, Integer::sum));
+            g.sent.stream().map(FakeGateway.SentAttempt::host).distinct().forEach(h -> met.merge(h, 1, Integer::sum));
         }
         assertTrue(met.size() == 65 && met.values().stream().allMatch(n -> n <= 50), met.toString());
     }
@@ -273,11 +273,11 @@
     @Test
     void hostThatRefusesConnectionsIsAvoidedAtOnce() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "a3");
-        g.ask("r", "read");
+        g.request("r", "read");
         String full = g.hostOf("r");
-        g.end("r", 0, Outcome.CONNECT_FAILED, 1);
+        g.endAttempt("r", 0, Outcome.CONNECT_FAILED, 1);
         for (int i = 0; i < 9; i++) {
-            g.ask("x" + i, "read");
+            g.request("x" + i, "read");
         }
         assertEquals(1, g.sent.stream().filter(s -> s.host().equals(full)).count());
     }
@@ -286,14 +286,14 @@
     void requestsAreStillSentWhenAllHostsLookBad() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
         for (int i = 0; i < 12; i++) {
-            g.ask("r" + i, "read");
-            for (int n = 0; n < g.sends("r" + i); n++) {
-                g.end("r" + i, n, Outcome.CONNECT_FAILED, 1);
+            g.request("r" + i, "read");
+            for (int n = 0; n < g.attempts("r" + i); n++) {
+                g.endAttempt("r" + i, n, Outcome.CONNECT_FAILED, 1);
             }
         }
-        g.pass(20);
+        g.advance(20);
         int before = g.sent.size();
-        g.ask("x", "read");
+        g.request("x", "read");
         assertTrue(g.sent.size() > before);
     }
 
@@ -310,18 +310,18 @@
         String[] classes = {"read", "pay", "order"};
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
-            g.ask(id, classes[random.nextInt(3)], random.nextBoolean() ? "small" : "free",
+            g.request(id, classes[random.nextInt(3)], random.nextBoolean() ? "small" : "free",
                     random.nextInt(20), 1 + random.nextInt(4), 3);
-            if (g.sends(id) > 0) {
+            if (g.attempts(id) > 0) {
                 open.add(id);
             }
-            g.pass(random.nextInt(30));
+            g.advance(random.nextInt(30));
             if (!open.isEmpty() && random.nextInt(3) > 0) {
                 String done = open.remove(random.nextInt(open.size()));
-                g.end(done, 0, Outcome.values()[random.nextInt(6)], 20);
+                g.endAttempt(done, 0, Outcome.values()[random.nextInt(6)], 20);
             }
         }
-        return g.log;
+        return g.actions;
     }
 
     /** The number of requests that a single host gets at once before the next one is queued or refused. */
@@ -329,7 +329,7 @@
         int sent = 0;
         for (int i = 0; g.sent.size() == i; i++) {
             sent = i;
-            g.ask("f" + i, "read");
+            g.request("f" + i, "read");
         }
         return sent;
     }
@@ -349,12 +349,12 @@
         }
         int before = g.sent.size();
         for (int i = 0; i < 3 * slots; i++) {
-            g.ask("more" + i, "read");
+            g.request("more" + i, "read");
         }
         assertEquals(slots, g.sent.size() - before, 1);
         int now = g.sent.size();
-        g.end("f0", 0, Outcome.OK, 20); // its slot was freed when its response began
-        g.ask("after", "read");
+        g.endAttempt("f0", 0, Outcome.OK, 20); // its slot was freed when its response began
+        g.request("after", "read");
         assertEquals(now, g.sent.size());
     }
 
@@ -367,9 +367,9 @@
                     5000));
         }
         assertEquals(50, g.sent.size());
-        g.ask("plain", "read");
+        g.request("plain", "read");
         assertEquals(51, g.sent.size());
-        g.pass(8000);
+        g.advance(8000);
         assertEquals(List.of("plain"), g.cancelled); // the requests with bodies are not overdue, that one is
     }
 
@@ -377,11 +377,11 @@
     @Test
     void hostThatRejectsARequestWithNoOthersInFlightIsAvoided() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2");
-        g.ask("rejected", "read");
+        g.request("rejected", "read");
         String draining = g.hostOf("rejected");
-        g.end("rejected", 0, EngineApi.Outcome.FULL, 2);
+        g.endAttempt("rejected", 0, EngineApi.Outcome.FULL, 2);
         for (int i = 0; i < 4; i++) {
-            g.ask("next" + i, "read");
+            g.request("next" + i, "read");
             assertNotEquals(draining, g.hostOf("next" + i));
         }
     }
--- a/gateway/src/test/java/marlford/gateway/LatePolicy.java
+++ b/gateway/src/test/java/marlford/gateway/DelayedViewPolicy.java
@@ -9,7 +9,7 @@
  * A reference policy for a whole tier: whichever gateway a request uses, it sees each token bucket's true state as of
  * {@value #VIEW_DELAY_MS} ms ago. No exchange of messages can do much better, so quota overruns are compared with it.
  */
-public final class LatePolicy {
+public final class DelayedViewPolicy {
     static final double VIEW_DELAY_MS = 100; // transit of two messages, one in ten of which is lost
 
     /** The level of a token bucket at a time. */
@@ -21,7 +21,7 @@
     private double admittedUnits;
 
     /** Decides on a request of a customer whose token bucket fills by {@code rate} units a second up to {@code burst}. */
-    public void ask(Object customer, double rate, double burst, double units, double now) {
+    public void request(Object customer, double rate, double burst, double units, double now) {
         double[] bucket = buckets.computeIfAbsent(customer, k -> new double[] {burst, now});
         bucket[0] = Math.min(burst, bucket[0] + (now - bucket[1]) / 1000 * rate);
         bucket[1] = now;
@@ -50,12 +50,12 @@
     }
 
     /** The share of all admitted units that exceeded quotas. */
-    public double cost() {
+    public double overrunShare() {
         return overrunUnits / Math.max(1, admittedUnits);
     }
 
     /** Resets the counts, but not the token buckets. */
-    public void mark() {
+    public void resetCounts() {
         overrunUnits = admittedUnits = 0;
     }
 }
--- a/gateway/src/test/java/marlford/gateway/GuardsTest.java
+++ b/gateway/src/test/java/marlford/gateway/EngineRulesTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The five rules of {@link DecisionEngine}, each on a single gateway. */
-class GuardsTest {
+class EngineRulesTest {
     @Test
     void requestWithoutAHostIsQueuedAndRefusedBeforeItsDeadline() {
         FakeGateway g = FakeGateway.alone();
-        g.ask("r", "pay");
-        assertEquals(0, g.answers("r"));
-        g.pass(2999);
-        assertEquals(1, g.answers("r"));
+        g.request("r", "pay");
+        assertEquals(0, g.finalAnswers("r"));
+        g.advance(2999);
+        assertEquals(1, g.finalAnswers("r"));
         assertEquals(List.of("r"), g.refused);
     }
 
@@ -26,41 +26,41 @@
     void requestWithNoTimeLeftIsAnsweredAtOnce() {
         FakeGateway g = FakeGateway.alone();
         g.engine.onRequest(g.now, new Request("r", g.now + 5, g.now, false, "read", 1, "free", 1, 0, 1));
-        assertEquals(1, g.answers("r"));
+        assertEquals(1, g.finalAnswers("r"));
     }
 
     @Test
     void timeoutAtTheDeadlineIsAnswered() {
         FakeGateway g = FakeGateway.alone().withHosts("a1");
-        g.ask("r", "read");
-        g.ask("p", "pay");
-        g.pass(3000);
-        g.end("r", 0, Outcome.TIMEOUT, 3000);
-        g.end("p", 0, Outcome.TIMEOUT, 3000);
-        assertEquals(1, g.answers("r"));
+        g.request("r", "read");
+        g.request("p", "pay");
+        g.advance(3000);
+        g.endAttempt("r", 0, Outcome.TIMEOUT, 3000);
+        g.endAttempt("p", 0, Outcome.TIMEOUT, 3000);
+        assertEquals(1, g.finalAnswers("r"));
         assertEquals(List.of("p"), g.failed);
-        assertEquals(1, g.sends("p"));
+        assertEquals(1, g.attempts("p"));
     }
 
     @Test
     void noAttemptIsSentAfterTheClientDisconnected() {
         FakeGateway g = FakeGateway.alone();
-        g.ask("r", "read");
+        g.request("r", "read");
         g.engine.onClientLeft(g.now, "r");
         g.withHosts("a1");
-        g.pass(3000);
-        assertEquals(0, g.sends("r"));
-        assertEquals(0, g.answers("r"));
+        g.advance(3000);
+        assertEquals(0, g.attempts("r"));
+        assertEquals(0, g.finalAnswers("r"));
     }
 
     @Test
     void unsafeRequestIsNotRepeatedOnceItMayHaveRun() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.ask("p", "pay");
-            g.end("p", 0, outcome, 10);
-            g.pass(500);
-            assertEquals(1, g.sends("p"), outcome.name());
+            g.request("p", "pay");
+            g.endAttempt("p", 0, outcome, 10);
+            g.advance(500);
+            assertEquals(1, g.attempts("p"), outcome.name());
             assertEquals(List.of("p"), g.failed, outcome.name());
         }
     }
@@ -69,10 +69,10 @@
     void requestThatNeverRanIsSentToAnotherHost() {
         for (Outcome outcome : List.of(Outcome.FULL, Outcome.CONNECT_FAILED)) {
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
-            g.ask("p", "pay");
+            g.request("p", "pay");
             String first = g.hostOf("p");
-            g.end("p", 0, outcome, 10);
-            assertEquals(2, g.sends("p"));
+            g.endAttempt("p", 0, outcome, 10);
+            assertEquals(2, g.attempts("p"));
             assertNotEquals(first, g.hostOf("p"));
         }
     }
@@ -80,14 +80,14 @@
     @Test
     void keyedRequestIsRepeatedOnlyInItsZoneAndWindow() {
         FakeGateway g = FakeGateway.alone().withHosts("a1", "a2", "b1", "b2");
-        g.ask("o", "order");
+        g.request("o", "order");
         String zone = g.hostOf("o").substring(0, 1);
-        g.end("o", 0, Outcome.RESET, 10);
-        assertEquals(2, g.sends("o"));
+        g.endAttempt("o", 0, Outcome.RESET, 10);
+        assertEquals(2, g.attempts("o"));
         assertEquals(zone, g.hostOf("o").substring(0, 1));
-        g.pass(1001);
-        g.end("o", 1, Outcome.RESET, 1001);
-        assertEquals(2, g.sends("o"));
+        g.advance(1001);
+        g.endAttempt("o", 1, Outcome.RESET, 1001);
+        assertEquals(2, g.attempts("o"));
         assertEquals(List.of("o"), g.failed);
     }
 
@@ -97,12 +97,12 @@
             FakeGateway g = FakeGateway.alone().withHosts("a1", "b1");
             g.engine.onHosts(g.now, ListKind.CHANGES, List.of(new Host("a1", "a", "std", 0, state, 1, 0)));
             for (int i = 0; i < 6; i++) {
-                g.ask("r" + i, "read");
+                g.request("r" + i, "read");
             }
             assertTrue(g.sent.stream().allMatch(s -> s.host().equals("b1")) && !g.sent.isEmpty());
         }
         FakeGateway g = FakeGateway.alone().withHosts("a1", "b1").withHosts("b1");
-        g.ask("r", "read");
+        g.request("r", "read");
         assertEquals("b1", g.hostOf("r"));
     }
 
@@ -132,7 +132,7 @@
         }
         g.engine.onHosts(g.now, ListKind.FULL, hosts);
         for (int i = 0; i < 200; i++) {
-            g.ask("q" + i, "read");
+            g.request("q" + i, "read");
         }
         return hosts.stream().skip(1)
                 .mapToLong(h -> g.sent.stream().filter(s -> s.host().equals(h.id())).count()).toArray();
@@ -156,10 +156,10 @@
 
     /** One request every 20 ms, answered after 160 ms, so that eight are in flight at a time. */
     private static void steadyRequest(FakeGateway g, int i) {
-        g.ask("w" + i, "read");
-        g.pass(20);
+        g.request("w" + i, "read");
+        g.advance(20);
         if (i >= 8) {
-            g.end("w" + (i - 8), 0, Outcome.OK, 160);
+            g.endAttempt("w" + (i - 8), 0, Outcome.OK, 160);
         }
     }
 
@@ -170,8 +170,8 @@
         for (int restart = 0; restart < 4; restart++) {
             FakeGateway g = new FakeGateway(1000 + restart * 500, FakeGateway.settings(me, 2)).withHosts("a1", "a2");
             for (int i = 0; i < 25; i++) {
-                g.ask("r" + restart + "-" + i, "read", "capped", 9, 1, 2);
-                g.pass(20);
+                g.request("r" + restart + "-" + i, "read", "capped", 9, 1, 2);
+                g.advance(20);
             }
             spent += g.sent.size();
         }
@@ -188,10 +188,10 @@
         g.engine.onProbeResult(g.now, "x", Outcome.OK, 1, new double[0]);
         g.engine.onStreamStarted(g.now, "x", 0);
         g.engine.onPeerMessage(g.now, 5, new byte[] {1});
-        g.ask("r", "read");
-        g.end("r", 7, Outcome.OK, 1);
-        g.end("r", 0, Outcome.OK, 1);
-        g.end("r", 0, Outcome.OK, 1);
+        g.request("r", "read");
+        g.endAttempt("r", 7, Outcome.OK, 1);
+        g.endAttempt("r", 0, Outcome.OK, 1);
+        g.endAttempt("r", 0, Outcome.OK, 1);
         assertTrue(g.failed.isEmpty() && g.refused.isEmpty() && g.sent.size() == 1);
     }
 }
--- a/gateway/src/test/java/marlford/gateway/FakeGateway.java
+++ b/gateway/src/test/java/marlford/gateway/FakeGateway.java
@@ -17,19 +17,19 @@
     static final Plan OPEN = new Plan("open", 0, 0, 2, 1, 0, 1, 0, 0, 0);
     static final Plan FREE = new Plan("free", 1e6, 1e6, 0, 1, 0, 1, 0, 0, 0);
 
-    record Sent(double at, String id, String host) { }
+    record SentAttempt(double at, String id, String host) { }
 
-    record Told(int peer, byte[] data) { }
+    record PeerMessage(int peer, byte[] data) { }
 
     private record Timer(double at, int order, String token) { }
 
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> probed = new ArrayList<>();
-    final List<Told> told = new ArrayList<>(); // messages sent to peers
-    final List<String> log = new ArrayList<>(); // all actions, with their times
+    final List<PeerMessage> peerMessages = new ArrayList<>(); // messages sent to peers
+    final List<String> actions = new ArrayList<>(); // all actions, with their times
     final DecisionEngine engine = new DecisionEngine(this);
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingInt(Timer::order));
@@ -73,15 +73,15 @@
     }
 
     /** A client's request that has 3 s until its deadline. */
-    void ask(String id, String cls, String plan, long customer, double units, int spread) {
+    void request(String id, String cls, String plan, long customer, double units, int spread) {
         engine.onRequest(now, new Request(id, now + 3000, now, false, cls, customer, plan, units, 0, spread));
     }
 
-    void ask(String id, String cls) {
-        ask(id, cls, "free", 1, 1, 1);
+    void request(String id, String cls) {
+        request(id, cls, "free", 1, 1, 1);
     }
 
-    void end(String id, int attempt, Outcome outcome, double latency) {
+    void endAttempt(String id, int attempt, Outcome outcome, double latency) {
         engine.onAttemptEnded(now, new AttemptResult(id, attempt, hostOf(id), outcome, latency,
                 outcome == Outcome.OK, 0, 0, new double[0]));
     }
@@ -92,17 +92,17 @@
     }
 
     /** The number of a request's attempts. */
-    long sends(String id) {
+    long attempts(String id) {
         return sent.stream().filter(s -> s.id().equals(id)).count();
     }
 
     /** The number of a request's refusals and failures. */
-    long answers(String id) {
+    long finalAnswers(String id) {
         return refused.stream().filter(id::equals).count() + failed.stream().filter(id::equals).count();
     }
 
     /** Advances the clock and fires the timers that expire on the way. */
-    void runTo(double end) {
+    void advanceTo(double end) {
         while (!timers.isEmpty() && timers.peek().at() <= end) {
             Timer t = timers.poll();
             now = Math.max(now, t.at());
@@ -111,32 +111,32 @@
         now = end;
     }
 
-    void pass(double ms) {
-        runTo(now + ms);
+    void advance(double ms) {
+        advanceTo(now + ms);
     }
 
     @Override
     public void send(String id, String host, double timeoutMs) {
-        sent.add(new Sent(now, id, host));
-        log.add(now + " send " + id + " " + host);
+        sent.add(new SentAttempt(now, id, host));
+        actions.add(now + " send " + id + " " + host);
     }
 
     @Override
     public void cancel(String id, int attempt) {
         cancelled.add(id);
-        log.add(now + " cancel " + id + " " + attempt);
+        actions.add(now + " cancel " + id + " " + attempt);
     }
 
     @Override
     public void refuse(String id, double retryAfterMs) {
         refused.add(id);
-        log.add(now + " refuse " + id + " " + retryAfterMs);
+        actions.add(now + " refuse " + id + " " + retryAfterMs);
     }
 
     @Override
     public void fail(String id) {
         failed.add(id);
-        log.add(now + " fail " + id);
+        actions.add(now + " fail " + id);
     }
 
     @Override
@@ -147,22 +147,22 @@
     @Override
     public void probe(String host) {
         probed.add(host);
-        log.add(now + " probe " + host);
+        actions.add(now + " probe " + host);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        told.add(new Told(peer, data));
-        log.add(now + " sendToPeer " + peer + " " + data.length);
+        peerMessages.add(new PeerMessage(peer, data));
+        actions.add(now + " sendToPeer " + peer + " " + data.length);
     }
 
     @Override
     public void addToCounter(String counter, double amount, double lifetimeMs) {
-        log.add(now + " addToCounter " + counter);
+        actions.add(now + " addToCounter " + counter);
     }
 
     @Override
     public void watchHosts() {
-        log.add(now + " watchHosts");
+        actions.add(now + " watchHosts");
     }
 }
--- a/gateway/src/test/java/marlford/gateway/HostStartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/HostStartsTest.java
@@ -19,8 +19,8 @@
     private static void receiveList(HostStarts starts, ListKind kind, double... startedMs) {
         List<Host> hosts = Stream.iterate(0, i -> i < startedMs.length, i -> i + 1)
                 .map(i -> new Host("h" + i, "a", "std", 0, HostState.RUNNING, 1, startedMs[i])).toList();
-        starts.telling(hosts);
-        starts.told(kind);
+        starts.noteHosts(hosts);
+        starts.listProcessed(kind);
     }
 
     @ParameterizedTest
@@ -28,7 +28,7 @@
     void startReportedLaterCountsFromItsReport(double errorMs) {
         HostStarts starts = new HostStarts(WARM_MS);
         receiveList(starts, ListKind.FULL, 0);
-        assertEquals(NOW + errorMs, starts.latestStart(NOW + errorMs, NOW - 500));
+        assertEquals(NOW + errorMs, starts.latestStartMs(NOW + errorMs, NOW - 500));
     }
 
     @ParameterizedTest
@@ -40,11 +40,11 @@
             double older = youngest - 4000;
             receiveList(starts, ListKind.CACHED, older, youngest, 0);
             double clock = NOW + errorMs;
-            assertEquals(clock, starts.latestStart(clock, youngest));
-            assertEquals(clock - 4000, starts.latestStart(clock, older));
-            assertTrue(starts.latestStart(clock, NOW - 8_000_000) < clock - WARM_MS);
-            starts.told(kind);
-            assertEquals(kind == ListKind.CACHED ? clock - 4000 : clock, starts.latestStart(clock, older));
+            assertEquals(clock, starts.latestStartMs(clock, youngest));
+            assertEquals(clock - 4000, starts.latestStartMs(clock, older));
+            assertTrue(starts.latestStartMs(clock, NOW - 8_000_000) < clock - WARM_MS);
+            starts.listProcessed(kind);
+            assertEquals(kind == ListKind.CACHED ? clock - 4000 : clock, starts.latestStartMs(clock, older));
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/HundredGatewaysTest.java
+++ b/gateway/src/test/java/marlford/gateway/HundredGatewaysTest.java
@@ -18,11 +18,11 @@
     private final FakeGateway gateway = new FakeGateway(1000, FakeGateway.settings(0, GATEWAYS)).withHosts("a1", "a2");
 
     private void request(String id, String plan, long customer) {
-        gateway.ask(id, "read", plan, customer, 2, GATEWAYS);
+        gateway.request(id, "read", plan, customer, 2, GATEWAYS);
     }
 
     private Stream<QuotaMessage.Item> sentItems() {
-        return gateway.told.stream().flatMap(t -> QuotaMessage.read(t.data()).items().stream());
+        return gateway.peerMessages.stream().flatMap(t -> QuotaMessage.read(t.data()).items().stream());
     }
 
     private QuotaMessage.Ask sentQuery(int index) {
@@ -31,7 +31,7 @@
 
     /** Replies to that gateway's latest message, a query, as the ledger replica that it was sent to. */
     private static QuotaMessage.Ask reply(FakeGateway querying, QuotaMessage.Verdict verdict, int count) {
-        FakeGateway.Told last = querying.told.get(querying.told.size() - 1);
+        FakeGateway.PeerMessage last = querying.peerMessages.get(querying.peerMessages.size() - 1);
         QuotaMessage message = QuotaMessage.read(last.data());
         QuotaMessage.Ask ask = assertInstanceOf(QuotaMessage.Ask.class, message.items().get(0));
         QuotaMessage.Answer answer = new QuotaMessage.Answer(ask.serial(), verdict, 0.2, 3, false);
@@ -43,11 +43,11 @@
     @Test
     void oneQueryAndItsReplyAdmitARequest() {
         request("r", "small", 7);
-        assertEquals(1, gateway.told.size());
+        assertEquals(1, gateway.peerMessages.size());
         assertEquals(List.of(), gateway.sent);
         reply(gateway, QuotaMessage.Verdict.GRANTED, 1);
-        assertEquals(1, gateway.sends("r"));
-        assertEquals(1, gateway.told.size(), "no message is needed for a use that the replica has booked");
+        assertEquals(1, gateway.attempts("r"));
+        assertEquals(1, gateway.peerMessages.size(), "no message is needed for a use that the replica has booked");
     }
 
     @Test
@@ -55,23 +55,23 @@
         request("r", "small", 7);
         reply(gateway, QuotaMessage.Verdict.STORE, 1);
         assertEquals(List.of("r"), gateway.refused);
-        int messages = gateway.told.size();
-        gateway.ask("s", "read", "small", 7, 4, GATEWAYS);
+        int messages = gateway.peerMessages.size();
+        gateway.request("s", "read", "small", 7, 4, GATEWAYS);
         assertEquals(List.of("r", "s"), gateway.refused);
-        assertEquals(messages, gateway.told.size());
+        assertEquals(messages, gateway.peerMessages.size());
     }
 
     /** A query that was still queued used to count as unanswered, and its replica as unresponsive. */
     @Test
     void unansweredQueryIsRepeatedThenSentToOthersThenEstimated() {
         request("r", "small", 7);
-        gateway.pass(REPLY_TIMEOUT_MS + 20);
+        gateway.advance(REPLY_TIMEOUT_MS + 20);
         assertEquals(sentQuery(0), sentQuery(1), "the query is repeated with the same serial number");
-        gateway.pass(12 * REPLY_TIMEOUT_MS);
-        assertEquals(1, gateway.sends("r"), "no replica replies, and the token bucket was last known to be full");
-        assertEquals(0, gateway.answers("r"));
-        gateway.end("r", 0, EngineApi.Outcome.OK, 20);
-        gateway.pass(1000);
+        gateway.advance(12 * REPLY_TIMEOUT_MS);
+        assertEquals(1, gateway.attempts("r"), "no replica replies, and the token bucket was last known to be full");
+        assertEquals(0, gateway.finalAnswers("r"));
+        gateway.endAttempt("r", 0, EngineApi.Outcome.OK, 20);
+        gateway.advance(1000);
         assertTrue(sentItems().anyMatch(i -> i instanceof QuotaMessage.Presence), "unresponsive replicas are probed");
     }
 
@@ -79,13 +79,13 @@
     @Test
     void expiredCeilingUnitsAreReturned() {
         FakeGateway withoutHosts = new FakeGateway(1000, FakeGateway.settings(0, GATEWAYS));
-        withoutHosts.ask("r", "read", "capped", 7, 2, GATEWAYS);
+        withoutHosts.request("r", "read", "capped", 7, 2, GATEWAYS);
         QuotaMessage.Ask ask = reply(withoutHosts, QuotaMessage.Verdict.GRANTED, 1);
-        withoutHosts.pass(300);
-        assertEquals(0, withoutHosts.answers("r"));
-        withoutHosts.pass(140);
+        withoutHosts.advance(300);
+        assertEquals(0, withoutHosts.finalAnswers("r"));
+        withoutHosts.advance(140);
         assertEquals(List.of("r"), withoutHosts.refused);
-        assertTrue(withoutHosts.told.stream().anyMatch(
+        assertTrue(withoutHosts.peerMessages.stream().anyMatch(
                 t -> QuotaMessage.read(t.data()).items().contains(new QuotaMessage.Back(ask.serial()))));
     }
 
@@ -94,7 +94,7 @@
         for (long customer = 1; customer <= 300; customer++) {
             request("r" + customer, "small", customer); // this gateway is the ledger replica of some of them
         }
-        gateway.told.clear();
+        gateway.peerMessages.clear();
         gateway.engine.onShutdown(gateway.now);
         long ledgers = sentItems().filter(i -> i instanceof QuotaMessage.Sync).count();
         assertTrue(ledgers >= 1, ledgers + " ledgers passed on");
@@ -106,12 +106,12 @@
     @Test
     void expiredCeilingUnitsAreNotUsedAfterAStall() {
         FakeGateway withoutHosts = new FakeGateway(1000, FakeGateway.settings(0, GATEWAYS));
-        withoutHosts.ask("r", "read", "capped", 7, 2, GATEWAYS);
+        withoutHosts.request("r", "read", "capped", 7, 2, GATEWAYS);
         reply(withoutHosts, QuotaMessage.Verdict.GRANTED, 1);
         withoutHosts.now += 700; // without a tick
         withoutHosts.withHosts("a1"); // the list is processed first, and releases held requests
         assertEquals(List.of(), withoutHosts.sent);
-        withoutHosts.pass(40);
+        withoutHosts.advance(40);
         assertEquals(List.of("r"), withoutHosts.refused);
     }
 
@@ -138,13 +138,13 @@
             FakeGateway one = new FakeGateway(17_000, FakeGateway.settings(me, GATEWAYS, me)); // it observes the start
             one.engine.onHosts(one.now, EngineApi.ListKind.FULL, IntStream.range(0, 60).mapToObj(i -> new EngineApi.Host("a" + i, "a",
                     "std", 0, EngineApi.HostState.RUNNING, 1, i % 2 == 0 ? 17_000 : 0)).toList());
-            one.pass(3000);
+            one.advance(3000);
             for (int i = 0; i < 10; i++) {
-                one.ask("r" + i, "read");
-                one.ask("s" + i, "read");
-                one.pass(150);
-                one.end("r" + i, 0, EngineApi.Outcome.OK, 150);
-                one.end("s" + i, 0, EngineApi.Outcome.OK, 150);
+                one.request("r" + i, "read");
+                one.request("s" + i, "read");
+                one.advance(150);
+                one.endAttempt("r" + i, 0, EngineApi.Outcome.OK, 150);
+                one.endAttempt("s" + i, 0, EngineApi.Outcome.OK, 150);
             }
             cold += (int) one.sent.stream().filter(s -> Integer.parseInt(s.host().substring(1)) % 2 == 0).count();
             warm += one.sent.size();
--- a/gateway/src/test/java/marlford/gateway/LargeTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/LargeTierTest.java
@@ -70,11 +70,11 @@
 
     /** One step of every gateway; then delivers messages and serves admitted requests. */
     private void step() {
-        gateways.forEach(g -> g.pass(STEP_MS));
+        gateways.forEach(g -> g.advance(STEP_MS));
         for (int from = 0; from < GATEWAYS; from++) {
-            List<FakeGateway.Told> messages = List.copyOf(gateways.get(from).told);
-            gateways.get(from).told.clear();
-            for (FakeGateway.Told t : messages) {
+            List<FakeGateway.PeerMessage> messages = List.copyOf(gateways.get(from).peerMessages);
+            gateways.get(from).peerMessages.clear();
+            for (FakeGateway.PeerMessage t : messages) {
                 for (int to = 0; to < GATEWAYS; to++) {
                     if (to != from && (t.peer() < 0 || t.peer() == to)) {
                         deliver(from, to, t.data());
@@ -83,11 +83,11 @@
             }
         }
         for (FakeGateway g : gateways) {
-            for (FakeGateway.Sent s : List.copyOf(g.sent)) {
+            for (FakeGateway.SentAttempt s : List.copyOf(g.sent)) {
                 if (answered.add(s.id())) {
                     admitted.merge(0L, units.get(s.id()), Double::sum);
                     chargeCeiling(s.at(), units.get(s.id()));
-                    g.end(s.id(), 0, EngineApi.Outcome.OK, 5);
+                    g.endAttempt(s.id(), 0, EngineApi.Outcome.OK, 5);
                 }
             }
         }
@@ -166,7 +166,7 @@
     }
 
     private static byte[] usageMessage(int incarnation, int count, UsageMessage.Entry entry) {
-        return new UsageMessage(incarnation, count, List.of(entry), List.of(), List.of()).bytes();
+        return new UsageMessage(incarnation, count, List.of(entry), List.of(), List.of()).encode();
     }
 
     private long refused() {
@@ -215,13 +215,13 @@
     @Test
     void restartedGatewayDoesNotChargeEarlierUse() {
         FakeGateway g = gateways.get(0);
-        g.pass(3000);
-        UsageMessage.Entry use = new UsageMessage.Entry(7, 0, UsageMessage.usedField(400), 1, 0.75);
+        g.advance(3000);
+        UsageMessage.Entry use = new UsageMessage.Entry(7, 0, UsageMessage.encodeUsed(400), 1, 0.75);
         g.engine.onPeerMessage(g.now, 3, usageMessage(500, 9, use)); // an incarnation that began before this gateway's
-        UsageMessage.Entry young = new UsageMessage.Entry(7, 0, UsageMessage.usedField(5), 1, 1);
+        UsageMessage.Entry young = new UsageMessage.Entry(7, 0, UsageMessage.encodeUsed(5), 1, 1);
         g.engine.onPeerMessage(g.now, 4, usageMessage(2500, 1, young)); // and one that began after it
         for (int i = 0; i < 12; i++) { // 12 units of burst, a quarter used before the first report, then five more
-            g.ask("q" + i, "read", "small", 7, 1, SET_SIZE);
+            g.request("q" + i, "read", "small", 7, 1, SET_SIZE);
         }
         assertTrue(g.sent.size() >= 3 && g.sent.size() <= 4, g.sent.size() + " requests admitted");
     }
@@ -230,9 +230,9 @@
     @Test
     void invalidMessagesAreIgnored() {
         FakeGateway g = gateways.get(0);
-        byte[] good = usageMessage(1500, 1, new UsageMessage.Entry(7, 0, UsageMessage.usedField(9), 1, 1));
-        byte[] otherPlan = usageMessage(1500, 2, new UsageMessage.Entry(7, 99, UsageMessage.usedField(9), 1, 0));
-        g.pass(2000); // the learning phase is over
+        byte[] good = usageMessage(1500, 1, new UsageMessage.Entry(7, 0, UsageMessage.encodeUsed(9), 1, 1));
+        byte[] otherPlan = usageMessage(1500, 2, new UsageMessage.Entry(7, 99, UsageMessage.encodeUsed(9), 1, 0));
+        g.advance(2000); // the learning phase is over
         g.engine.onPeerMessage(g.now, 3, good);
         g.engine.onPeerMessage(g.now, 3, good); // replayed
         g.engine.onPeerMessage(g.now, 3, Arrays.copyOf(good, good.length - 1));
@@ -245,7 +245,7 @@
         damaged[damaged.length - 1]++;
         g.engine.onPeerMessage(g.now, 4, damaged);
         for (int i = 0; i < 12; i++) { // 12 units of burst less the 9 that a peer admitted
-            g.ask("q" + i, "read", "small", 7, 1, SET_SIZE);
+            g.request("q" + i, "read", "small", 7, 1, SET_SIZE);
         }
         assertTrue(g.sent.size() == 2 || g.sent.size() == 3, g.sent.size() + " requests admitted");
     }
--- a/gateway/src/test/java/marlford/gateway/PartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/QuotaSharingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Quotas shared by a small tier: admission by shares, messages between gateways, and transfers of ceiling units. */
-class PartsTest {
+class QuotaSharingTest {
     private final List<FakeGateway> tier = new ArrayList<>();
     private int serial;
     private final Set<String> ended = new HashSet<>();
@@ -31,12 +31,12 @@
     private void pass(double ms) {
         for (double end = tier.get(0).now + ms; tier.get(0).now < end;) {
             for (FakeGateway g : tier) {
-                g.pass(10);
+                g.advance(10);
             }
             for (int from = 0; from < tier.size(); from++) {
-                List<FakeGateway.Told> messages = List.copyOf(tier.get(from).told);
-                tier.get(from).told.clear();
-                for (FakeGateway.Told t : messages) {
+                List<FakeGateway.PeerMessage> messages = List.copyOf(tier.get(from).peerMessages);
+                tier.get(from).peerMessages.clear();
+                for (FakeGateway.PeerMessage t : messages) {
                     serial++;
                     boolean lost = from == unreachable || t.peer() == unreachable;
                     if (partitioned || lost || dropsMessages && serial % 4 == 0) {
@@ -59,16 +59,16 @@
     }
 
     private void answerSent(FakeGateway g) {
-        for (FakeGateway.Sent s : List.copyOf(g.sent)) {
+        for (FakeGateway.SentAttempt s : List.copyOf(g.sent)) {
             if (ended.add(s.id())) {
                 admittedUnits += Double.parseDouble(s.id().substring(s.id().indexOf(':') + 1));
-                g.end(s.id(), 0, EngineApi.Outcome.OK, 5);
+                g.endAttempt(s.id(), 0, EngineApi.Outcome.OK, 5);
             }
         }
     }
 
     private void request(int gateway, String plan, double units) {
-        tier.get(gateway).ask("q" + serial++ + ":" + units, "read", plan, 42, units, tier.size());
+        tier.get(gateway).request("q" + serial++ + ":" + units, "read", plan, 42, units, tier.size());
     }
 
     /** Units admitted in that time, with requests for 20 units a second at each given gateway: five times the small quota. */
@@ -165,28 +165,28 @@
         FakeGateway g = tier.get(primary);
         for (int[] set : new int[][] {{0, 0}, {0, 4}, {0, 65_535}, {65_535, 1}}) {
             LedgerMessage.Entry e = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, set[0], set[1], 0, 4, 4, 0, 1, 0);
-            g.engine.onPeerMessage(g.now, member, new LedgerMessage(500, 0, 1 + set[1], 0, List.of(e)).bytes());
+            g.engine.onPeerMessage(g.now, member, new LedgerMessage(500, 0, 1 + set[1], 0, List.of(e)).encode());
         }
         LedgerMessage.Entry plan = new LedgerMessage.Entry(false, true, false, false, false, 42, 200, 0, 3, 0, 4, 4, 0, 1, 0);
-        g.engine.onPeerMessage(g.now, member, new LedgerMessage(600, 0, 1, 0, List.of(plan)).bytes());
-        g.pass(100);
-        assertTrue(g.told.isEmpty());
+        g.engine.onPeerMessage(g.now, member, new LedgerMessage(600, 0, 1, 0, List.of(plan)).encode());
+        g.advance(100);
+        assertTrue(g.peerMessages.isEmpty());
         LedgerMessage.Entry good = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, 0, 3, 0, 4, 4, 0, 1, 0);
-        byte[] once = new LedgerMessage(700, 0, 1, 0, List.of(good)).bytes();
+        byte[] once = new LedgerMessage(700, 0, 1, 0, List.of(good)).encode();
         g.engine.onPeerMessage(g.now, member, once);
         g.engine.onPeerMessage(g.now, member, once);
-        g.pass(100);
-        LedgerMessage.Entry answer = g.told.stream().flatMap(t -> LedgerMessage.read(t.data()).entries().stream())
-                .filter(LedgerMessage.Entry::answer).findFirst().orElseThrow();
-        assertEquals(4, answer.want());
-        assertEquals(8.0 / 12, answer.fullness(), 0.05);
+        g.advance(100);
+        LedgerMessage.Entry answer = g.peerMessages.stream().flatMap(t -> LedgerMessage.decode(t.data()).entries().stream())
+                .filter(LedgerMessage.Entry::isReply).findFirst().orElseThrow();
+        assertEquals(4, answer.requestedOrGrantedUnits());
+        assertEquals(8.0 / 12, answer.fillLevel(), 0.05);
     }
 
     @Test
     void runningTotalsAndSerialsWrapAround() {
         double far = (1L << 31) / 16.0;
-        assertEquals(3, LedgerMessage.ahead(far + 1, far - 2));
-        assertTrue(LedgerMessage.after(2, 65_534) && !LedgerMessage.after(65_534, 2));
+        assertEquals(3, LedgerMessage.unitsAhead(far + 1, far - 2));
+        assertTrue(LedgerMessage.isLaterSerial(2, 65_534) && !LedgerMessage.isLaterSerial(65_534, 2));
     }
 
     @Test
@@ -207,19 +207,19 @@
     @Test
     void damagedMessagesAreDropped() {
         gateways(2);
-        tier.get(0).ask("a", "read", "small", 42, 4, 2);
-        tier.get(1).ask("b", "read", "small", 42, 4, 2);
-        tier.get(0).pass(400);
-        tier.get(1).pass(400);
-        byte[] good = tier.stream().flatMap(g -> g.told.stream()).findFirst().orElseThrow().data();
+        tier.get(0).request("a", "read", "small", 42, 4, 2);
+        tier.get(1).request("b", "read", "small", 42, 4, 2);
+        tier.get(0).advance(400);
+        tier.get(1).advance(400);
+        byte[] good = tier.stream().flatMap(g -> g.peerMessages.stream()).findFirst().orElseThrow().data();
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 0x10;
-            assertNull(LedgerMessage.read(bad), "byte " + i);
+            assertNull(LedgerMessage.decode(bad), "byte " + i);
         }
-        assertNull(LedgerMessage.read(java.util.Arrays.copyOf(good, good.length - 1)));
-        assertNull(LedgerMessage.read(new byte[0]));
-        assertNotNull(LedgerMessage.read(good));
+        assertNull(LedgerMessage.decode(java.util.Arrays.copyOf(good, good.length - 1)));
+        assertNull(LedgerMessage.decode(new byte[0]));
+        assertNotNull(LedgerMessage.decode(good));
     }
 
     @Test
@@ -230,7 +230,7 @@
         LedgerMessage.Entry reply = new LedgerMessage.Entry(true, false, true, true, false, customer, 1, 0, 0, 12.5, 3.25, 7.5,
                 0.25, 4, 70_000.5);
         LedgerMessage message = new LedgerMessage(-5, 9, 65_535, 0, List.of(report, reply));
-        assertEquals(message, LedgerMessage.read(message.bytes()));
+        assertEquals(message, LedgerMessage.decode(message.encode()));
     }
 
     @Test
@@ -354,10 +354,10 @@
                         request(g, "capped", 1 + random.nextInt(4));
                     }
                     if (old[g] != null) {
-                        old[g].pass(tier.get(g).now - old[g].now);
-                        old[g].told.clear(); // a replaced process exchanges no messages with peers
+                        old[g].advance(tier.get(g).now - old[g].now);
+                        old[g].peerMessages.clear(); // a replaced process exchanges no messages with peers
                         int units = 1 + random.nextInt(4);
-                        old[g].ask("old" + serial++ + ":" + units, "read", "capped", 42, units, 3);
+                        old[g].request("old" + serial++ + ":" + units, "read", "capped", 42, units, 3);
                         answerSent(old[g]);
                     }
                 }
@@ -456,13 +456,13 @@
         gateways(1);
         FakeGateway g = tier.get(0);
         for (int i = 0; i < 4; i++) {
-            g.ask("o" + i, "read", "open", 5, 1, 1);
+            g.request("o" + i, "read", "open", 5, 1, 1);
         }
         assertEquals(2, g.sent.size());
         assertEquals(2, g.refused.size());
-        g.end("o0", 0, EngineApi.Outcome.OK, 5);
-        g.ask("o9", "read", "open", 5, 1, 1);
-        assertEquals(1, g.sends("o9"));
+        g.endAttempt("o0", 0, EngineApi.Outcome.OK, 5);
+        g.request("o9", "read", "open", 5, 1, 1);
+        assertEquals(1, g.attempts("o9"));
     }
 
     @Test
@@ -470,7 +470,7 @@
         gateways(1);
         FakeGateway g = tier.get(0);
         for (int i = 0; i < 5; i++) {
-            g.ask("o" + i, "read", "small", 5, 4, 1);
+            g.request("o" + i, "read", "small", 5, 4, 1);
         }
         assertEquals(3, g.sent.size());
         assertEquals(List.of("o3", "o4"), g.refused);
@@ -482,10 +482,10 @@
         FakeGateway g = new FakeGateway(Integer.MAX_VALUE, FakeGateway.settings(0, 2)).withHosts("a1");
         LedgerMessage.Entry e = new LedgerMessage.Entry(false, true, false, false, false, 42, 0, 0, 2, 0, 4, 4, 0, 1, 0);
         for (int incarnation : new int[] {Integer.MAX_VALUE - 5, Integer.MIN_VALUE + 5}) {
-            int before = g.told.size();
-            g.engine.onPeerMessage(g.now, 1, new LedgerMessage(incarnation, 0, 1, 0, List.of(e)).bytes());
-            g.pass(200);
-            assertTrue(g.told.size() > before, "no reply to incarnation " + incarnation);
+            int before = g.peerMessages.size();
+            g.engine.onPeerMessage(g.now, 1, new LedgerMessage(incarnation, 0, 1, 0, List.of(e)).encode());
+            g.advance(200);
+            assertTrue(g.peerMessages.size() > before, "no reply to incarnation " + incarnation);
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/QuietTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/SmallTierQuotaOverrunTest.java
@@ -12,7 +12,7 @@
  * by at most a tenth of all admitted units. Whole decision engines in virtual time; 8% of messages are lost, and each gateway
  * accepts no more messages than the settings say.
  */
-class QuietTierTest {
+class SmallTierQuotaOverrunTest {
     private static final double LOSS_SHARE = 0.08;
     private static final double MAX_OVERRUN_SHARE = 0.1;
     private static final int CUSTOMER_MOVE_INTERVAL_MS = 4000;
--- a/gateway/src/test/java/marlford/gateway/SmallTierSimulation.java
+++ b/gateway/src/test/java/marlford/gateway/SmallTierSimulation.java
@@ -61,10 +61,10 @@
     private final FakeGateway[] gateways; // null while one is down
     private final double[] upAt;
     private final double[] capacity; // messages that each gateway can accept now
-    private final List<ArrayDeque<FakeGateway.Sent>> serving = new ArrayList<>();
+    private final List<ArrayDeque<FakeGateway.SentAttempt>> serving = new ArrayList<>();
     private final List<Customer> customers = new ArrayList<>();
     private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
-    private final LatePolicy delayedView = new LatePolicy();
+    private final DelayedViewPolicy delayedView = new DelayedViewPolicy();
     private final PriorityQueue<Message> messages =
             new PriorityQueue<>(Comparator.comparingDouble(Message::arrivesAt).thenComparingInt(Message::order));
     private double now = 1000;
@@ -98,7 +98,7 @@
             t.customers.add(new Customer(i + 1, plan, t.random.nextInt(gatewayCount), Math.min(gatewayCount, 4), loadShare * rate, t.now));
         }
         t.run(5000);
-        t.delayedView.mark();
+        t.delayedView.resetCounts();
         t.admitted = t.overrun = 0;
         return t;
     }
@@ -110,7 +110,7 @@
 
     private void sendRequest(Customer c, double units) {
         if (c.plan.ceilingRate() == 0) { // customers with a ceiling have quotas far above it
-            delayedView.ask(c, c.plan.rate(), c.plan.burst(), units, now);
+            delayedView.request(c, c.plan.rate(), c.plan.burst(), units, now);
         }
         int place = c.onlyPlace < 0 ? random.nextInt(c.spread) : c.onlyPlace;
         for (int i = 0; i < c.spread; i++) {
@@ -134,7 +134,7 @@
                 if (gateways[i] == null && now >= upAt[i]) {
                     start(i);
                 } else if (gateways[i] != null) {
-                    gateways[i].runTo(now);
+                    gateways[i].advanceTo(now);
                 }
             }
             while (!messages.isEmpty() && messages.peek().arrivesAt() <= now) {
@@ -160,28 +160,28 @@
     /** Puts a gateway's messages on the link; counts the requests that it admitted, and serves them after a short time. */
     private void deliver(int i) {
         FakeGateway g = gateways[i];
-        for (FakeGateway.Told t : List.copyOf(g.told)) {
+        for (FakeGateway.PeerMessage t : List.copyOf(g.peerMessages)) {
             for (int to = 0; to < gateways.length; to++) {
                 if (to != i && (t.peer() < 0 || t.peer() == to) && random.nextDouble() >= lossShare) {
                     messages.add(new Message(now + MIN_TRANSIT_MS + 7.3 * random.nextDouble(), nextNumber++, i, to, t.data()));
                 }
             }
         }
-        g.told.clear();
-        for (FakeGateway.Sent s : g.sent) {
+        g.peerMessages.clear();
+        for (FakeGateway.SentAttempt s : g.sent) {
             PendingRequest a = pendingRequests.remove(s.id());
             if (a != null) {
                 count(a, s.at());
                 serving.get(i).add(s);
             }
         }
-        ArrayDeque<FakeGateway.Sent> queue = serving.get(i);
+        ArrayDeque<FakeGateway.SentAttempt> queue = serving.get(i);
         while (!queue.isEmpty() && queue.peek().at() + SERVICE_MS <= now) {
-            g.end(queue.poll().id(), 0, EngineApi.Outcome.OK, SERVICE_MS);
+            g.endAttempt(queue.poll().id(), 0, EngineApi.Outcome.OK, SERVICE_MS);
         }
         if (queue.isEmpty()) {
             g.sent.clear();
-            g.log.clear();
+            g.actions.clear();
         }
     }
 
@@ -223,7 +223,7 @@
 
     /** The same share for a policy that sees the true state after a delay. */
     double delayedViewOverrunShare() {
-        return delayedView.cost();
+        return delayedView.overrunShare();
     }
 
     /** The lowest true level of a ceiling's token bucket. */
--- a/gateway/src/test/java/marlford/gateway/accept/AcceptRetryTest.java
+++ b/gateway/src/test/java/marlford/gateway/accept/AcceptRetryTest.java
@@ -25,7 +25,7 @@
         }
         long seconds = (System.nanoTime() - began) / 1_000_000_000;
         assertTrue(!log.isEmpty() && log.size() <= seconds + 1, log.size() + " log lines");
-        assertEquals(2L * FAILURES, retry.calls());
+        assertEquals(2L * FAILURES, retry.acceptCalls());
         listener.finishAndReleaseAll();
     }
 }
--- a/gateway/src/test/java/marlford/gateway/guard/AttemptGuardTest.java
+++ b/gateway/src/test/java/marlford/gateway/guard/AttemptGuardTest.java
@@ -13,7 +13,7 @@
 import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.EngineApi.RequestClass;
 import marlford.gateway.EngineApi.Scope;
-import marlford.gateway.guard.AttemptGuard.Earlier;
+import marlford.gateway.guard.AttemptGuard.EarlierAttempt;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -38,7 +38,8 @@
     }
 
     private static Rule ruleBroken(Effect effect, Outcome first, double now, Host to) {
-        return AttemptGuard.brokenByRepeat(now, requestClass(effect), limits(true), List.of(new Earlier(first, 0, FIRST_HOST)), to);
+        return AttemptGuard.ruleBrokenByRepeat(now, requestClass(effect), limits(true),
+                List.of(new EarlierAttempt(first, 0, FIRST_HOST)), to);
     }
 
     @ParameterizedTest
@@ -59,10 +60,10 @@
 
     @Test
     void secondCopyNeedsThePermissionOfTheSettings() {
-        List<Earlier> inFlight = List.of(new Earlier(null, 0, FIRST_HOST));
+        List<EarlierAttempt> inFlight = List.of(new EarlierAttempt(null, 0, FIRST_HOST));
         assertEquals(Rule.SECOND_COPY,
-                AttemptGuard.brokenByRepeat(1, requestClass(Effect.REPEATABLE), limits(false), inFlight, SAME_ZONE_HOST));
-        assertNull(AttemptGuard.brokenByRepeat(1, requestClass(Effect.REPEATABLE), limits(true), inFlight, SAME_ZONE_HOST));
+                AttemptGuard.ruleBrokenByRepeat(1, requestClass(Effect.REPEATABLE), limits(false), inFlight, SAME_ZONE_HOST));
+        assertNull(AttemptGuard.ruleBrokenByRepeat(1, requestClass(Effect.REPEATABLE), limits(true), inFlight, SAME_ZONE_HOST));
     }
 
     @Test
