--- a/gateway/src/test/java/marlford/gateway/lease/TwoPartyLeasesTest.java
+++ b/gateway/src/test/java/marlford/gateway/lease/TwoPartyLeasesTest.java
@@ -22,51 +22,51 @@
     @Test
     void holderHoldsFromAnAcknowledgementForATermFromTheAcknowledgedMessage() {
         TwoPartyLeases holder = new TwoPartyLeases(TERMS, 2, 0);
-        assertEquals(TwoPartyLeases.NOT, holder.heldSince(0, SUCCESSOR));
-        holder.told(100, SUCCESSOR, 7);
-        holder.told(300, SUCCESSOR, 8);
-        holder.answered(400, SUCCESSOR, 6); // the acknowledgement of an earlier message proves nothing
-        assertEquals(TwoPartyLeases.NOT, holder.heldSince(400, SUCCESSOR));
-        holder.answered(500, SUCCESSOR, 8);
+        assertEquals(TwoPartyLeases.NOT_HELD, holder.heldSince(0, SUCCESSOR));
+        holder.messageSent(100, SUCCESSOR, 7);
+        holder.messageSent(300, SUCCESSOR, 8);
+        holder.messageAcknowledged(400, SUCCESSOR, 6); // the acknowledgement of an earlier message proves nothing
+        assertEquals(TwoPartyLeases.NOT_HELD, holder.heldSince(400, SUCCESSOR));
+        holder.messageAcknowledged(500, SUCCESSOR, 8);
         assertEquals(500, holder.heldSince(1099, SUCCESSOR)); // 7 was sent at 100; the acknowledgement of 8 proves no more than that
-        assertEquals(TwoPartyLeases.NOT, holder.heldSince(1100, SUCCESSOR));
+        assertEquals(TwoPartyLeases.NOT_HELD, holder.heldSince(1100, SUCCESSOR));
     }
 
     @Test
     void termRenewedInTimeContinuesAndAnExpiredOneStartsAgain() {
         TwoPartyLeases holder = new TwoPartyLeases(TERMS, 2, 0);
-        holder.told(0, SUCCESSOR, 0xffff);
-        holder.answered(10, SUCCESSOR, 0xffff);
-        holder.told(900, SUCCESSOR, 0); // the serial number wraps around
-        holder.answered(950, SUCCESSOR, 0);
+        holder.messageSent(0, SUCCESSOR, 0xffff);
+        holder.messageAcknowledged(10, SUCCESSOR, 0xffff);
+        holder.messageSent(900, SUCCESSOR, 0); // the serial number wraps around
+        holder.messageAcknowledged(950, SUCCESSOR, 0);
         assertEquals(10, holder.heldSince(1500, SUCCESSOR));
-        holder.told(2000, SUCCESSOR, 1);
-        holder.answered(2010, SUCCESSOR, 1);
+        holder.messageSent(2000, SUCCESSOR, 1);
+        holder.messageAcknowledged(2010, SUCCESSOR, 1);
         assertEquals(2010, holder.heldSince(2010, SUCCESSOR));
     }
 
     @Test
     void successorTakesOverOnATickAfterSilenceAndReturnsAtTheFirstMessage() {
         TwoPartyLeases successor = new TwoPartyLeases(TERMS, 2, 0);
-        successor.heard(50, HOLDER);
-        successor.beat(1250);
-        assertEquals(TwoPartyLeases.NOT, successor.takenSince(HOLDER));
-        successor.beat(1251);
-        assertEquals(1251, successor.takenSince(HOLDER));
-        successor.beat(1300);
-        assertEquals(1251, successor.takenSince(HOLDER));
-        successor.heard(1310, HOLDER);
-        assertEquals(TwoPartyLeases.NOT, successor.takenSince(HOLDER));
+        successor.messageReceived(50, HOLDER);
+        successor.tick(1250);
+        assertEquals(TwoPartyLeases.NOT_HELD, successor.takenOverSince(HOLDER));
+        successor.tick(1251);
+        assertEquals(1251, successor.takenOverSince(HOLDER));
+        successor.tick(1300);
+        assertEquals(1251, successor.takenOverSince(HOLDER));
+        successor.messageReceived(1310, HOLDER);
+        assertEquals(TwoPartyLeases.NOT_HELD, successor.takenOverSince(HOLDER));
     }
 
     @Test
     void ownStallDoesNotCountAsSilenceOfTheHolder() {
         TwoPartyLeases successor = new TwoPartyLeases(TERMS, 2, 0);
-        successor.stalled(5000);
-        successor.beat(5000);
-        assertEquals(TwoPartyLeases.NOT, successor.takenSince(HOLDER));
-        successor.beat(6201);
-        assertEquals(6201, successor.takenSince(HOLDER));
+        successor.discountStall(5000);
+        successor.tick(5000);
+        assertEquals(TwoPartyLeases.NOT_HELD, successor.takenOverSince(HOLDER));
+        successor.tick(6201);
+        assertEquals(6201, successor.takenOverSince(HOLDER));
     }
 
     @Test
@@ -103,7 +103,7 @@
         }
 
         Message send(double now, double arrivesAt) {
-            leases.told(now, peer, ++serial);
+            leases.messageSent(now, peer, ++serial);
             return new Message(arrivesAt, 1 - peer, incarnation, serial, peerIncarnation, lastReceivedSerial);
         }
 
@@ -113,17 +113,17 @@
             }
             peerIncarnation = m.incarnation;
             lastReceivedSerial = m.serial;
-            leases.heard(now, peer);
+            leases.messageReceived(now, peer);
             if (m.receiverIncarnation == incarnation) {
-                leases.answered(now, peer, m.lastReceivedSerial);
+                leases.messageAcknowledged(now, peer, m.lastReceivedSerial);
             }
         }
 
         void tick(double now) {
             if (now - nextTick > TICK_MS) {
-                leases.stalled(now - nextTick);
+                leases.discountStall(now - nextTick);
             }
-            leases.beat(now);
+            leases.tick(now);
             nextTick = now + TICK_MS;
         }
     }
@@ -187,8 +187,8 @@
                 }
             }
             link = later;
-            boolean holds = sides[HOLDER].leases.heldSince(now, SUCCESSOR) != TwoPartyLeases.NOT;
-            boolean tookOver = sides[SUCCESSOR].leases.takenSince(HOLDER) != TwoPartyLeases.NOT;
+            boolean holds = sides[HOLDER].leases.heldSince(now, SUCCESSOR) != TwoPartyLeases.NOT_HELD;
+            boolean tookOver = sides[SUCCESSOR].leases.takenOverSince(HOLDER) != TwoPartyLeases.NOT_HELD;
             assertFalse(holds && tookOver, "both hold it at " + now);
             held |= holds;
             taken |= tookOver;
--- a/gateway/src/test/java/marlford/gateway/list/HostListTest.java
+++ b/gateway/src/test/java/marlford/gateway/list/HostListTest.java
@@ -14,7 +14,7 @@
 import marlford.gateway.EngineApi.HostState;
 import marlford.gateway.EngineApi.ListKind;
 import marlford.gateway.list.HostList.Limits;
-import marlford.gateway.list.HostList.Told;
+import marlford.gateway.list.HostList.Update;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -44,8 +44,8 @@
         return host(id, HostState.DRAINING, 0);
     }
 
-    private static void apply(Map<String, HostState> states, Told update) {
-        if (update.taken()) {
+    private static void apply(Map<String, HostState> states, Update update) {
+        if (update.accepted()) {
             if (update.kind() != ListKind.CHANGES) {
                 states.clear();
             }
@@ -53,14 +53,14 @@
         }
     }
 
-    private Told full(double now, String agent, long version, Host... hosts) {
-        Told update = list.heard(now, agent, version, true, List.of(hosts));
+    private Update full(double now, String agent, long version, Host... hosts) {
+        Update update = list.receive(now, agent, version, true, List.of(hosts));
         apply(states, update);
         return update;
     }
 
-    private Told change(double now, String agent, long version, Host... hosts) {
-        Told update = list.heard(now, agent, version, false, List.of(hosts));
+    private Update change(double now, String agent, long version, Host... hosts) {
+        Update update = list.receive(now, agent, version, false, List.of(hosts));
         apply(states, update);
         return update;
     }
@@ -74,7 +74,7 @@
     }
 
     private void setExcluded(double now, String... ids) {
-        list.leaveOut(now, Set.of(ids)).forEach(h -> states.put(h.id(), h.state()));
+        list.setExcluded(now, Set.of(ids)).forEach(h -> states.put(h.id(), h.state()));
     }
 
     /** Neither a new list, nor a new incarnation, nor another agent, nor time ends the exclusion of a host. */
@@ -90,9 +90,9 @@
         assertEquals(HostState.DRAINING, state("h"));
         assertEquals(HostState.DRAINING, state("later"));
         full(4, AGENT_B, 1, host("h", HostState.RUNNING, 3.5), ready("later"));
-        review(LIMITS.vouchMs() * 2);
+        review(LIMITS.staleAfterMs() * 2);
         assertEquals(HostState.DRAINING, state("h"));
-        setExcluded(LIMITS.vouchMs() * 3, "later");
+        setExcluded(LIMITS.staleAfterMs() * 3, "later");
         assertEquals(HostState.RUNNING, state("h"));
         assertEquals(HostState.DRAINING, state("later"));
     }
@@ -111,38 +111,38 @@
     @Test
     void excludedHostsOfTheCachedListDrain() {
         setExcluded(0, "h");
-        Told update = list.known(List.of(ready("h"), ready("other")), HostList.NONE);
+        Update update = list.loadCached(List.of(ready("h"), ready("other")), HostList.NO_VERSION);
         assertEquals(List.of(HostState.DRAINING, HostState.RUNNING),
                 update.hosts().stream().map(Host::state).toList());
-        assertEquals(Set.of("h", "other"), list.listed());
+        assertEquals(Set.of("h", "other"), list.listedIds());
     }
 
     @Test
     void changeIsRejectedWithoutAFullListOfTheSameAgent() {
-        assertFalse(change(0, AGENT_A, 5, ready("h")).taken());
+        assertFalse(change(0, AGENT_A, 5, ready("h")).accepted());
         full(1, AGENT_A, 5, ready("h"));
-        assertFalse(change(2, AGENT_B, 6, draining("h")).taken());
-        assertEquals(HostList.NONE, list.version(AGENT_A)); // the full list contains what was missed
+        assertFalse(change(2, AGENT_B, 6, draining("h")).accepted());
+        assertEquals(HostList.NO_VERSION, list.heldVersion(AGENT_A)); // the full list contains what was missed
     }
 
     @Test
     void lowerVersionOfTheSameAgentIsRejected() {
         full(0, AGENT_A, 7, draining("h"));
-        assertFalse(full(10, AGENT_A, 6, ready("h")).taken());
+        assertFalse(full(10, AGENT_A, 6, ready("h")).accepted());
         assertEquals(HostState.DRAINING, state("h"));
-        assertFalse(change(20, AGENT_A, 6, ready("h")).taken());
+        assertFalse(change(20, AGENT_A, 6, ready("h")).accepted());
         assertEquals(HostState.DRAINING, state("h"));
     }
 
     @Test
     void lowerFullListAfterALowerChangeDoesNotReopenAHost() {
         full(0, AGENT_A, 7, draining("h"));
-        assertFalse(change(10, AGENT_A, 6, ready("h")).taken());
-        assertEquals(HostList.NONE, list.version(AGENT_A)); // the full list is due, but not in a version below 7
-        assertFalse(full(20, AGENT_A, 6, ready("h")).taken());
+        assertFalse(change(10, AGENT_A, 6, ready("h")).accepted());
+        assertEquals(HostList.NO_VERSION, list.heldVersion(AGENT_A)); // the full list is due, but not in a version below 7
+        assertFalse(full(20, AGENT_A, 6, ready("h")).accepted());
         assertEquals(HostState.DRAINING, state("h"));
-        assertTrue(full(30, AGENT_A, 7, draining("h"), ready("i")).taken());
-        assertEquals(7, list.version(AGENT_A));
+        assertTrue(full(30, AGENT_A, 7, draining("h"), ready("i")).accepted());
+        assertEquals(7, list.heldVersion(AGENT_A));
         assertEquals(HostState.DRAINING, state("h"));
     }
 
@@ -150,19 +150,19 @@
     void lowerFullListAfterAnUpdateThatCouldNotBePassedOnDoesNotReopenAHost() {
         full(0, AGENT_A, 6, ready("h"));
         change(10, AGENT_A, 7, draining("h"));
-        list.lost();
-        assertFalse(full(20, AGENT_A, 6, ready("h")).taken());
+        list.requireFullList();
+        assertFalse(full(20, AGENT_A, 6, ready("h")).accepted());
         assertEquals(HostState.DRAINING, state("h"));
     }
 
     @Test
     void agentThatRestartedItsNumberingIsAcceptedButDoesNotReopenAHost() {
         full(0, AGENT_A, 700, draining("h"), ready("i"));
-        assertFalse(full(100, AGENT_A, 1, ready("h")).taken());
-        assertTrue(full(100 + LIMITS.lowerVersionRejectMs(), AGENT_A, 1, ready("h"), ready("j")).taken());
+        assertFalse(full(100, AGENT_A, 1, ready("h")).accepted());
+        assertTrue(full(100 + LIMITS.lowerVersionRejectMs(), AGENT_A, 1, ready("h"), ready("j")).accepted());
         assertEquals(HostState.DRAINING, state("h"));
         assertEquals(HostState.RUNNING, state("j"));
-        assertTrue(change(1200, AGENT_A, 2, ready("h")).taken()); // a change that names the host
+        assertTrue(change(1200, AGENT_A, 2, ready("h")).accepted()); // a change that names the host
         assertEquals(HostState.RUNNING, state("h"));
     }
 
@@ -189,7 +189,7 @@
 
     @Test
     void cachedListDoesNotKeepAHostClosed() {
-        apply(states, list.known(List.of(draining("h"), ready("i")), HostList.NONE));
+        apply(states, list.loadCached(List.of(draining("h"), ready("i")), HostList.NO_VERSION));
         full(0, AGENT_A, 1, ready("h"));
         assertEquals(HostState.RUNNING, state("h"));
     }
@@ -197,19 +197,19 @@
     @Test
     void fullListIsDueAfterAnUpdateThatCouldNotBePassedOn() {
         full(0, AGENT_A, 4, ready("h"));
-        assertEquals(4, list.version(AGENT_A));
-        list.lost();
-        assertEquals(HostList.NONE, list.version(AGENT_A));
-        assertFalse(change(5, AGENT_A, 5, draining("h")).taken());
+        assertEquals(4, list.heldVersion(AGENT_A));
+        list.requireFullList();
+        assertEquals(HostList.NO_VERSION, list.heldVersion(AGENT_A));
+        assertFalse(change(5, AGENT_A, 5, draining("h")).accepted());
     }
 
     @Test
     void staleListSuspendsUnresponsiveHostsUntilTheNextUpdate() {
         full(0, AGENT_A, 1, ready("h1"), ready("h2"), ready("h3"), ready("h4"));
-        double old = LIMITS.vouchMs() + 1;
-        list.served(old - 10, "h3");
-        list.served(old - 10, "h4");
-        review(LIMITS.vouchMs());
+        double old = LIMITS.staleAfterMs() + 1;
+        list.hostAnswered(old - 10, "h3");
+        list.hostAnswered(old - 10, "h4");
+        review(LIMITS.staleAfterMs());
         assertEquals(HostState.RUNNING, state("h1"));
         review(old);
         assertEquals(List.of(HostState.DRAINING, HostState.DRAINING, HostState.RUNNING, HostState.RUNNING),
@@ -265,7 +265,7 @@
         Map<String, Host> reported = new HashMap<>(); // by the accepted updates
         Map<String, Double> removedAt = new HashMap<>(); // when a host was last reported, or found, to be gone
         String source = null;
-        long acceptedVersion = HostList.NONE; // the version of the last accepted update
+        long acceptedVersion = HostList.NO_VERSION; // the version of the last accepted update
         double now = 0;
         for (Step s : steps) {
             now += s.afterMs();
@@ -273,14 +273,14 @@
                 String agent = s.agent() == 0 ? AGENT_A : AGENT_B;
                 boolean full = s.what() == 0;
                 boolean older = agent.equals(source) && s.version() < acceptedVersion;
-                Told update = any.heard(now, agent, s.version(), full, s.hosts());
-                if (!update.taken()) {
+                Update update = any.receive(now, agent, s.version(), full, s.hosts());
+                if (!update.accepted()) {
                     assertTrue(!full || older, "a valid full list was rejected");
-                    assertTrue(full || any.version(agent) == HostList.NONE, "a change was rejected, but no full list is due");
+                    assertTrue(full || any.heldVersion(agent) == HostList.NO_VERSION, "a change was rejected, but no full list is due");
                     continue;
                 }
                 assertTrue(full || !older, "a change with a lower version was accepted");
-                assertEquals(s.version(), any.version(agent));
+                assertEquals(s.version(), any.heldVersion(agent));
                 boolean mayBeOlder = source != null && (!agent.equals(source) || older);
                 for (Host h : s.hosts()) {
                     Host before = reported.get(h.id());
@@ -316,7 +316,7 @@
                 }
                 update.hosts().forEach(h -> used.put(h.id(), h.state()));
             } else if (s.what() == 2) {
-                any.served(now, "h" + s.agent());
+                any.hostAnswered(now, "h" + s.agent());
             } else {
                 any.review(now).forEach(h -> used.put(h.id(), h.state()));
             }
@@ -329,7 +329,7 @@
             assertTrue(any.ageMs(now) >= 0);
         }
         // Without further updates, once closed hosts are no longer held closed, at least half of the running hosts are used.
-        now += LIMITS.vouchMs() + LIMITS.closedHoldMs() + 1;
+        now += LIMITS.staleAfterMs() + LIMITS.closedHoldMs() + 1;
         any.review(now).forEach(h -> used.put(h.id(), h.state()));
         long running = reported.values().stream().filter(h -> h.state() == HostState.RUNNING).count();
         long usedCount = used.values().stream().filter(s -> s == HostState.RUNNING).count();
@@ -340,28 +340,28 @@
     @Test
     void afterARejectionChangesContinueFromTheCachedList() {
         HostList list = new HostList(HostList.Limits.DEFAULT, 0);
-        list.known(List.of(ready("h"), ready("i")), 41);
-        assertEquals(HostList.NONE, list.version("agent"));
-        list.goOnFromKnown("agent");
-        assertEquals(41, list.version("agent"));
-        assertTrue(list.heard(10, "agent", 43, false, List.of(draining("h"))).taken());
-        assertEquals(43, list.version("agent"));
-        list.goOnFromKnown("agent");
-        assertEquals(43, list.version("agent"), "the received version is newer than the cached one");
+        list.loadCached(List.of(ready("h"), ready("i")), 41);
+        assertEquals(HostList.NO_VERSION, list.heldVersion("agent"));
+        list.continueFromCached("agent");
+        assertEquals(41, list.heldVersion("agent"));
+        assertTrue(list.receive(10, "agent", 43, false, List.of(draining("h"))).accepted());
+        assertEquals(43, list.heldVersion("agent"));
+        list.continueFromCached("agent");
+        assertEquals(43, list.heldVersion("agent"), "the received version is newer than the cached one");
 
         HostList without = new HostList(HostList.Limits.DEFAULT, 0);
-        without.known(List.of(ready("h")), HostList.NONE);
-        without.goOnFromKnown("agent");
-        assertEquals(HostList.NONE, without.version("agent"));
+        without.loadCached(List.of(ready("h")), HostList.NO_VERSION);
+        without.continueFromCached("agent");
+        assertEquals(HostList.NO_VERSION, without.heldVersion("agent"));
     }
 
     @Test
     void listedHostsAreCountedBeforeAChangeIsAccepted() {
         full(0, AGENT_A, 1, ready("a"), ready("b"));
-        assertEquals(3, list.listedWith(List.of(ready("a"), ready("c"))));
-        assertEquals(1, list.listedWith(List.of(host("b", HostState.GONE, 0), host("x", HostState.GONE, 0))));
+        assertEquals(3, list.listedCountAfter(List.of(ready("a"), ready("c"))));
+        assertEquals(1, list.listedCountAfter(List.of(host("b", HostState.GONE, 0), host("x", HostState.GONE, 0))));
         change(1, AGENT_A, 2, host("b", HostState.GONE, 0));
-        assertEquals(2, list.listedWith(List.of(ready("b"))));
+        assertEquals(2, list.listedCountAfter(List.of(ready("b"))));
     }
 
     /** Full lists without a common host follow each other within a minute; removed hosts used to accumulate without a limit. */
@@ -373,9 +373,9 @@
             for (int i = 0; i < hosts; i++) {
                 fresh.add(ready(version + "-" + i));
             }
-            assertEquals(hosts, list.heard(version, AGENT_A, version, true, fresh).hosts().size());
+            assertEquals(hosts, list.receive(version, AGENT_A, version, true, fresh).hosts().size());
         }
-        assertEquals(hosts, list.listed().size());
+        assertEquals(hosts, list.listedIds().size());
         assertEquals(2 * hosts, list.entryCount());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/list/PollingBackoffTest.java
+++ b/gateway/src/test/java/marlford/gateway/list/PollingBackoffTest.java
@@ -25,15 +25,15 @@
     @Test
     void withoutRejectionsCallsFollowImmediately() {
         PollingBackoff backoff = new PollingBackoff(new Random(1), LONG_DRAIN_GRACE_MS, true);
-        assertEquals(0, backoff.answered(0));
-        assertEquals(4000, backoff.holdMs(backoff.watchMs(0)));
-        assertEquals(4450, backoff.watchMs(0));
-        assertEquals(1000, backoff.patienceMs());
-        long first = backoff.broke(0);
+        assertEquals(0, backoff.waitAfterAnswer(0));
+        assertEquals(4000, backoff.holdMs(backoff.longPollTimeoutMs(0)));
+        assertEquals(4450, backoff.longPollTimeoutMs(0));
+        assertEquals(1000, backoff.answerTimeoutMs());
+        long first = backoff.waitAfterFailure(0);
         assertTrue(first >= 25 && first <= 50, "wait after a first failed call: " + first);
         long last = 0;
         for (int i = 0; i < 70; i++) {
-            last = backoff.broke(0);
+            last = backoff.waitAfterFailure(0);
         }
         assertTrue(last >= 400 && last <= 800, "wait after many failed calls: " + last);
     }
@@ -42,20 +42,20 @@
     void rejectionsThrottleAndAnswersEndTheThrottling() {
         PollingBackoff backoff = new PollingBackoff(new Random(1), LONG_DRAIN_GRACE_MS, false);
         for (int i = 0; i < 20; i++) {
-            long wait = backoff.turnedAway(0);
+            long wait = backoff.waitAfterRejection(0);
             assertTrue(wait <= 1.5 * PollingBackoff.MAX_MEAN_WAIT_MS, "wait after a rejection: " + wait);
         }
-        assertTrue(backoff.turnedAway(0) >= MIN_WAIT_SHARE * PollingBackoff.MAX_MEAN_WAIT_MS);
-        long longPollMargin = backoff.watchMs(0) - backoff.holdMs(backoff.watchMs(0));
-        assertTrue(longPollMargin > 1000 && backoff.patienceMs() > DISCOVERY_QUEUE_MS, "timeouts have to cover discovery's queue");
+        assertTrue(backoff.waitAfterRejection(0) >= MIN_WAIT_SHARE * PollingBackoff.MAX_MEAN_WAIT_MS);
+        long longPollMargin = backoff.longPollTimeoutMs(0) - backoff.holdMs(backoff.longPollTimeoutMs(0));
+        assertTrue(longPollMargin > 1000 && backoff.answerTimeoutMs() > DISCOVERY_QUEUE_MS, "timeouts have to cover discovery's queue");
         int answers = 0;
         while (backoff.isThrottled()) {
-            backoff.answered(0);
+            backoff.waitAfterAnswer(0);
             answers++;
         }
         assertTrue(answers <= 10, "answers until the throttling ends: " + answers);
-        backoff.turnedAway(0);
-        backoff.moved();
+        backoff.waitAfterRejection(0);
+        backoff.agentChanged();
         assertFalse(backoff.isThrottled(), "another agent has not rejected a call");
     }
 
@@ -64,16 +64,16 @@
     void waitsGrowAfterUnusableAnswers(@ForAll @DoubleRange(max = 10_000) double grace,
             @ForAll boolean pushed, @ForAll long seed) {
         PollingBackoff backoff = new PollingBackoff(new Random(seed), grace, pushed);
-        long tooLong = backoff.tooLong(0);
+        long tooLong = backoff.waitAfterTooLongList(0);
         assertTrue(tooLong >= 2000 && tooLong <= PollingBackoff.MAX_CALL_GAP_MS, "wait after a list that is too long: " + tooLong);
-        long wait = backoff.unusable(0);
+        long wait = backoff.waitAfterUnusableAnswer(0);
         assertTrue(wait <= 50, "wait after the first unusable answer: " + wait);
         for (int i = 0; i < 30; i++) {
-            wait = backoff.unusable(0);
+            wait = backoff.waitAfterUnusableAnswer(0);
         }
         assertTrue(wait >= 2000 && wait <= PollingBackoff.MAX_CALL_GAP_MS, "wait after many unusable answers: " + wait);
-        backoff.answered(0);
-        assertTrue(backoff.unusable(0) <= 50, "an accepted answer has to reset the wait");
+        backoff.waitAfterAnswer(0);
+        assertTrue(backoff.waitAfterUnusableAnswer(0) <= 50, "an accepted answer has to reset the wait");
     }
 
     /** The end of a call while discovery is unreachable, or of one that begins just before it is reachable again. */
@@ -98,42 +98,42 @@
 
         /** Makes a call with this end, and advances the time to the start of the next one. */
         void call(CallEnd end, boolean awaitsSharedFetch) {
-            backoff.called(now);
+            backoff.callStarted(now);
             now += wait(end);
             if (awaitsSharedFetch) {
-                now += backoff.turnMs(now);
+                now += backoff.sharedFetchWaitMs(now);
             }
         }
 
         private long wait(CallEnd end) {
             switch (end) {
                 case CONNECTION_REFUSED:
-                    return backoff.broke(now);
+                    return backoff.waitAfterFailure(now);
                 case CONNECT_TIMEOUT:
-                    now += backoff.connectMs();
-                    return backoff.broke(now);
+                    now += backoff.connectTimeoutMs();
+                    return backoff.waitAfterFailure(now);
                 case ANSWER_TIMEOUT:
-                    now += random.nextInt((int) backoff.connectMs()) + backoff.patienceMs();
-                    return backoff.broke(now);
+                    now += random.nextInt((int) backoff.connectTimeoutMs()) + backoff.answerTimeoutMs();
+                    return backoff.waitAfterFailure(now);
                 case RESET:
-                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
-                    return backoff.broke(now);
+                    now += random.nextInt((int) (backoff.connectTimeoutMs() + backoff.answerTimeoutMs()));
+                    return backoff.waitAfterFailure(now);
                 case REJECTED: // immediately; otherwise discovery was reachable before
-                    return backoff.turnedAway(now);
+                    return backoff.waitAfterRejection(now);
                 case UNREADABLE:
-                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
-                    return backoff.unusable(now);
+                    now += random.nextInt((int) (backoff.connectTimeoutMs() + backoff.answerTimeoutMs()));
+                    return backoff.waitAfterUnusableAnswer(now);
                 case TOO_LONG:
-                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
-                    return backoff.tooLong(now);
+                    now += random.nextInt((int) (backoff.connectTimeoutMs() + backoff.answerTimeoutMs()));
+                    return backoff.waitAfterTooLongList(now);
                 case LONG_POLL_TIMEOUT:
-                    now += random.nextInt((int) backoff.connectMs());
-                    now += backoff.watchMs(now);
-                    return backoff.fellSilent();
+                    now += random.nextInt((int) backoff.connectTimeoutMs());
+                    now += backoff.longPollTimeoutMs(now);
+                    return backoff.waitAfterLongPollTimeout();
                 default: // the connection is closed in the wait after an answer
-                    now += random.nextInt((int) (backoff.connectMs() + backoff.patienceMs()));
-                    now += random.nextInt((int) backoff.answered(now) + 1);
-                    return backoff.broke(now);
+                    now += random.nextInt((int) (backoff.connectTimeoutMs() + backoff.answerTimeoutMs()));
+                    now += random.nextInt((int) backoff.waitAfterAnswer(now) + 1);
+                    return backoff.waitAfterFailure(now);
             }
         }
     }
@@ -155,7 +155,7 @@
             double began = caller.now;
             caller.call(end, awaitsSharedFetch);
             double upToDate = end == CallEnd.ANSWERED_THEN_CLOSED
-                    ? began + caller.backoff.connectMs() + caller.backoff.patienceMs() : began;
+                    ? began + caller.backoff.connectTimeoutMs() + caller.backoff.answerTimeoutMs() : began;
             assertTrue(caller.now <= upToDate + PollingBackoff.MAX_CALL_GAP_MS + PollingBackoff.MIN_WAIT_MS,
                     "after " + end + " the next call began " + (caller.now - began) + " ms after the last one");
         }
@@ -167,15 +167,15 @@
             @ForAll @IntRange(max = 8) int rejections, @ForAll @IntRange(max = 8) int answers, @ForAll long seed) {
         PollingBackoff backoff = new PollingBackoff(new Random(seed), grace, pushed);
         for (int i = 0; i < rejections; i++) {
-            backoff.turnedAway(0);
+            backoff.waitAfterRejection(0);
         }
         long pause = 0;
         for (int i = 0; i <= answers; i++) {
-            pause = backoff.answered(0);
+            pause = backoff.waitAfterAnswer(0);
         }
-        long longPollMs = backoff.watchMs(pause);
+        long longPollMs = backoff.longPollTimeoutMs(pause);
         assertTrue(backoff.holdMs(longPollMs) <= longPollMs);
-        double nextCallAt = pause + longPollMs + backoff.fellSilent();
+        double nextCallAt = pause + longPollMs + backoff.waitAfterLongPollTimeout();
         assertTrue(nextCallAt <= PollingBackoff.MAX_CALL_GAP_MS, "the next call began after " + nextCallAt + " ms");
     }
 
@@ -186,9 +186,10 @@
         PollingBackoff backoff = new PollingBackoff(new Random(seed), grace, true);
         long wait = 0;
         for (int i = 0; i < failures; i++) {
-            wait = backoff.broke(0);
+            wait = backoff.waitAfterFailure(0);
         }
-        double timeout = Math.max(backoff.patienceMs(), backoff.connectMs()); // timeout of the last call before the agent is back
+        // Timeout of the last call before the agent is back.
+        double timeout = Math.max(backoff.answerTimeoutMs(), backoff.connectTimeoutMs());
         assertTrue(timeout + wait + LOCAL_ANSWER_MS <= grace, "called after a timeout of " + timeout + " and a wait of " + wait + " ms");
     }
 
@@ -221,7 +222,7 @@
                 boolean served = capacity >= 1;
                 capacity -= served ? 1 : 0;
                 PollingBackoff backoff = tier.get((int) next[1]);
-                long wait = served ? Math.max(250, backoff.answered(next[0])) : backoff.turnedAway(next[0]);
+                long wait = served ? Math.max(250, backoff.waitAfterAnswer(next[0])) : backoff.waitAfterRejection(next[0]);
                 due.add(new long[] {next[0] + wait, next[1]});
             }
             for (int second = 10; second < 40; second++) {
--- a/gateway/src/test/java/marlford/gateway/metrics/ActivityCountersTest.java
+++ b/gateway/src/test/java/marlford/gateway/metrics/ActivityCountersTest.java
@@ -8,10 +8,10 @@
     @Test
     void takingResetsTheCountsAndOmitsZeros() {
         ActivityCounters counters = new ActivityCounters();
-        counters.note(ActivityCounters.Item.SENT);
-        counters.note(ActivityCounters.Item.TRIES);
-        counters.note(ActivityCounters.Item.TRIES);
-        assertEquals("tries=2 sent=1", counters.take());
-        assertEquals("", counters.take());
+        counters.increment(ActivityCounters.Item.SENT);
+        counters.increment(ActivityCounters.Item.TRIES);
+        counters.increment(ActivityCounters.Item.TRIES);
+        assertEquals("tries=2 sent=1", counters.takeLine());
+        assertEquals("", counters.takeLine());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
@@ -86,7 +86,7 @@
         assertFalse(changes.full());
         assertEquals(HostState.DRAINING, changes.entries().get(0).host().state());
         HostListAnswer bare = parse("{}");
-        assertEquals(HostList.NONE, bare.version());
+        assertEquals(HostList.NO_VERSION, bare.version());
         assertEquals(List.of(), bare.entries());
         assertEquals(List.of(), parse("{\"version\":1,\"full\":true,\"servers\":[3,[{}],null]}").entries());
     }
--- a/gateway/src/test/java/marlford/gateway/quota/QuietDayTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/QuietDayTest.java
@@ -8,7 +8,7 @@
 /**
  * The operators' requirement on quotas: on a quiet day the units beyond quotas, of all gateways together, cost at most a
  * tenth more than under a policy that sees the true state late. These are tiers that keep exact ledgers, in virtual time,
- * with a loss of 8% of the messages. Smaller tiers use the messages of another protocol (QuietTierTest).
+ * with a loss of 8% of the messages. Smaller tiers use the messages of another protocol (SmallTierQuotaOverrunTest).
  */
 class QuietDayTest {
     private static final double MESSAGE_LOSS = 0.08;
--- a/gateway/src/test/java/marlford/gateway/quota/SimulatedTier.java
+++ b/gateway/src/test/java/marlford/gateway/quota/SimulatedTier.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.BiPredicate;
 import java.util.function.ToIntFunction;
-import marlford.gateway.LatePolicy;
+import marlford.gateway.DelayedViewPolicy;
 
 /**
  * A whole tier simulated in virtual time: coordinators; a network with delay, loss, partitions and a limit on received
@@ -96,7 +96,7 @@
     double unitsBeyondQuota;
     double sent;
     final Map<QuotaCoordinator.Why, Integer> refusalsByReason = new EnumMap<>(QuotaCoordinator.Why.class);
-    final LatePolicy late = new LatePolicy();
+    final DelayedViewPolicy late = new DelayedViewPolicy();
     private ToIntFunction<Customer> pinnedPosition = customer -> -1;
 
     SimulatedTier(int count, double loss, long seed) {
@@ -272,7 +272,7 @@
     void requestAt(int gateway, Customer customer, double units) {
         attempts++;
         if (customer.terms.rate() > 0) {
-            late.ask(customer, customer.terms.rate(), customer.terms.burst(), units, now);
+            late.request(customer, customer.terms.rate(), customer.terms.burst(), units, now);
         }
         String id = "r" + requestCount++;
         boolean leased = gateways[gateway].holdsLease(now, customer.key.customer());
@@ -329,12 +329,12 @@
 
     /** Returns, per unit that was sent on, the full price of the units beyond quotas, and the same for the late policy. */
     double[] costs() {
-        return new double[] {unitsBeyondQuota / Math.max(1, sent), late.cost()};
+        return new double[] {unitsBeyondQuota / Math.max(1, sent), late.overrunShare()};
     }
 
     /** Resets all counts. */
     void resetCounts() {
-        late.mark();
+        late.resetCounts();
         attempts = 0;
         refusedWithRoom = 0;
         messagesSent = 0;
--- a/gateway/src/test/java/marlford/gateway/shutdown/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/marlford/gateway/shutdown/ShutdownScheduleTest.java
@@ -16,17 +16,19 @@
     @Property
     void phasesAreInOrderAndBeforeSigkill(@ForAll @DoubleRange(min = 0, max = 600_000) double longest) {
         ShutdownSchedule s = ShutdownSchedule.of(longest);
-        assertEquals(Math.min(3000, longest) + 700, s.killedMs(), 1e-9);
-        assertTrue(s.staysMs() >= 0 && s.staysMs() <= s.endsMs(), "client connections are closed before requests are abandoned: " + s);
-        assertTrue(s.acceptsMs() >= 400, "new connections arrive for 400 ms: " + s);
-        assertTrue(s.acceptsMs() <= s.endsMs() && s.endsMs() < s.saysMs() && s.saysMs() < s.exitsMs(), "phases out of order: " + s);
-        assertTrue(s.exitsMs() <= s.killedMs() - LATE_LOOP_RESERVE_MS, "no time is left for a late event loop: " + s);
+        assertEquals(Math.min(3000, longest) + 700, s.killMs(), 1e-9);
+        assertTrue(s.keepClientsUntilMs() >= 0 && s.keepClientsUntilMs() <= s.abandonMs(),
+                "client connections are closed before requests are abandoned: " + s);
+        assertTrue(s.acceptUntilMs() >= 400, "new connections arrive for 400 ms: " + s);
+        assertTrue(s.acceptUntilMs() <= s.abandonMs() && s.abandonMs() < s.peerFarewellMs() && s.peerFarewellMs() < s.exitMs(),
+                "phases out of order: " + s);
+        assertTrue(s.exitMs() <= s.killMs() - LATE_LOOP_RESERVE_MS, "no time is left for a late event loop: " + s);
     }
 
     /** Requests accepted before SIGTERM keep their whole deadline, and so do those accepted while clients may stay. */
     @Property
     void acceptedRequestsKeepTheirWholeDeadline(@ForAll @DoubleRange(min = 0, max = 3000) double longest) {
-        assertTrue(ShutdownSchedule.of(longest).endsMs() >= longest);
+        assertTrue(ShutdownSchedule.of(longest).abandonMs() >= longest);
     }
 
     @Test
--- a/gateway/src/test/java/marlford/gateway/start/StartBudgetTest.java
+++ b/gateway/src/test/java/marlford/gateway/start/StartBudgetTest.java
@@ -13,13 +13,13 @@
 /** Simulates whole starts on a virtual clock. */
 class StartBudgetTest {
     /** Processing time before each step, in milliseconds, of a start on a third of a core. */
-    private static final Map<Step, Long> WORK_MS = new EnumMap<>(Map.of(Step.HELLO, 700L, Step.WARM_UP, 100L,
+    private static final Map<Step, Long> WORK_MS = new EnumMap<>(Map.of(Step.PREDECESSOR_REPLY, 700L, Step.WARM_UP, 100L,
             Step.WARM_UP_ALONE, 800L,
-            Step.TAKEN, 20L, Step.WORD, 60L, Step.LEFT, 20L));
+            Step.LEDGERS_RELEASED, 20L, Step.FIRST_DISCOVERY_ANSWER, 60L, Step.LISTENER_RELEASED, 20L));
     /** Steps of a start beside the running process. */
     private static final Set<Step> BESIDE_STEPS = EnumSet.complementOf(EnumSet.of(Step.WARM_UP_ALONE));
     /** Steps of a start without another process. */
-    private static final Set<Step> ALONE_STEPS = EnumSet.of(Step.WARM_UP_ALONE, Step.WORD);
+    private static final Set<Step> ALONE_STEPS = EnumSet.of(Step.WARM_UP_ALONE, Step.FIRST_DISCOVERY_ANSWER);
 
     private long now;
 
@@ -49,7 +49,7 @@
         Set<Step> endless = EnumSet.of(Step.WARM_UP);
         assertTrue(ready(1, endless) <= StartBudget.READY_MS, "assumed speed: " + now);
         assertTrue(ready(2, endless) <= StartBudget.READY_MS, "half as fast: " + now);
-        endless.add(Step.WORD); // discovery is unreachable
+        endless.add(Step.FIRST_DISCOVERY_ANSWER); // discovery is unreachable
         assertTrue(ready(1, endless) <= StartBudget.READY_MS + StartBudget.LATE_STEP_MS, "assumed speed: " + now);
         assertTrue(ready(2, endless) <= StartBudget.READY_MS + StartBudget.LATE_STEP_MS, "half as fast: " + now);
         assertTrue(ready(3, endless) <= StartBudget.PLATFORM_MS - StartBudget.HEALTH_CHECK_RESERVE_MS, "a third: " + now);
@@ -76,7 +76,8 @@
     void optionalStepsAreSkippedAtATenthOfTheSpeed() {
         assertEquals(work(10), ready(10, EnumSet.of(Step.WARM_UP)));
         long lastSteps = 3 * StartBudget.LATE_STEP_MS; // the three steps that can't be skipped
-        assertEquals(work(10) + lastSteps, ready(10, EnumSet.of(Step.TAKEN, Step.WORD, Step.LEFT)));
+        assertEquals(work(10) + lastSteps,
+                ready(10, EnumSet.of(Step.LEDGERS_RELEASED, Step.FIRST_DISCOVERY_ANSWER, Step.LISTENER_RELEASED)));
         assertEquals(work(10) + StartBudget.LATE_STEP_MS + lastSteps, ready(10, BESIDE_STEPS));
     }
 
@@ -84,15 +85,15 @@
     void lateStepDoesNotExtendOthers() {
         now = 0;
         StartBudget budget = new StartBudget(() -> now);
-        assertEquals(StartBudget.PLATFORM_MS - StartBudget.HEALTH_CHECK_RESERVE_MS, budget.limitMs(Step.LEFT));
+        assertEquals(StartBudget.PLATFORM_MS - StartBudget.HEALTH_CHECK_RESERVE_MS, budget.limitMs(Step.LISTENER_RELEASED));
         now = StartBudget.PLATFORM_MS - StartBudget.HEALTH_CHECK_RESERVE_MS - 1000;
-        assertEquals(1000, budget.limitMs(Step.LEFT));
+        assertEquals(1000, budget.limitMs(Step.LISTENER_RELEASED));
         now += 1000;
-        assertEquals(StartBudget.LATE_STEP_MS, budget.limitMs(Step.LEFT));
+        assertEquals(StartBudget.LATE_STEP_MS, budget.limitMs(Step.LISTENER_RELEASED));
         now += 60_000;
-        assertEquals(StartBudget.LATE_STEP_MS, budget.limitMs(Step.LEFT));
+        assertEquals(StartBudget.LATE_STEP_MS, budget.limitMs(Step.LISTENER_RELEASED));
         assertEquals(0, budget.limitMs(Step.WARM_UP));
-        assertEquals(StartBudget.LATE_STEP_MS, budget.limitMs(Step.WORD));
+        assertEquals(StartBudget.LATE_STEP_MS, budget.limitMs(Step.FIRST_DISCOVERY_ANSWER));
     }
 
     /** A kind of start. */
@@ -127,7 +128,7 @@
             now += (long) (WORK_MS.get(step) * slower);
             long limit = (long) (budget.limitMs(step) / rate);
             now += switch (step) {
-                case WORD -> switch (answer) {
+                case FIRST_DISCOVERY_ANSWER -> switch (answer) {
                     case IMMEDIATE, REJECTED -> 0;
                     case NONE -> limit;
                     case HUGE_LIST -> limit + (long) (HUGE_LIST_MS * slower); // reading it just before the limit occupies the event loop
--- a/gateway/src/test/java/marlford/gateway/wire/WireHostTest.java
+++ b/gateway/src/test/java/marlford/gateway/wire/WireHostTest.java
@@ -73,7 +73,7 @@
             {"BEGIN_BATCH moment_ms=1 turn=1\n", "line 2: input ended inside a batch"},
         };
         for (String[] c : cases) {
-            WireFault fault = assertThrows(WireFault.class, () -> run(c[0]), c[1]);
+            WireFormatException fault = assertThrows(WireFormatException.class, () -> run(c[0]), c[1]);
             assertEquals(c[1], fault.getMessage());
         }
     }
--- a/storm/src/main/java/marlford/storm/scale/LoneGateway.java
+++ b/storm/src/main/java/marlford/storm/scale/LoneGateway.java
@@ -149,8 +149,8 @@
 
     private void hear(boolean whole, List<Host> hosts) {
         timer.time(Part.LIST, () -> {
-            HostList.Told told = list.heard(events.now(), AGENT, ++version, whole, hosts);
-            if (told.taken()) {
+            HostList.Update told = list.receive(events.now(), AGENT, ++version, whole, hosts);
+            if (told.accepted()) {
                 engine.onHosts(events.now(), told.kind(), told.hosts());
             }
         });
