--- a/gateway/src/main/java/marlford/gateway/DecisionEngine.java
+++ b/gateway/src/main/java/marlford/gateway/DecisionEngine.java
@@ -252,21 +252,21 @@
                 p.excessPays() ? 0 : p.rate(), p.burst(), p.ceilingRate(), p.ceilingBurst())).toList();
         return new QuotaCoordinator(now, new QuotaCoordinator.Config(settings.me(), peers.length,
                 settings.sharing().messagesPerSecond(), settings.sharing().maxUnits(), MAX_TRACKED_CUSTOMERS,
-                plans), incarnation, random, new QuotaCoordinator.Link() {
-            @Override public void tell(int peer, byte[] data) {
+                plans), incarnation, random, new QuotaCoordinator.Callbacks() {
+            @Override public void sendToPeer(int peer, byte[] data) {
                 counters.increment(Item.TOLD);
                 actions.sendToPeer(peer, data);
             }
 
-            @Override public void decided(double at, String id, QuotaCoordinator.Decision decision) {
+            @Override public void onDecision(double at, String id, QuotaCoordinator.Decision decision) {
                 ActiveRequest active = activeRequests.get(id);
                 active.grant = decision.grant();
-                active.sendBy = decision.leaveBy();
-                if (decision.in()) admit(at, active);
-                if (decision.in()) return;
-                counters.increment(Item.of(decision.why()));
+                active.sendBy = decision.sendBy();
+                if (decision.admitted()) admit(at, active);
+                if (decision.admitted()) return;
+                counters.increment(Item.of(decision.reason()));
                 close(active);
-                actions.refuse(id, retryAfterMs(decision.retryMs()));
+                actions.refuse(id, retryAfterMs(decision.retryAfterMs()));
             }
         });
     }
@@ -286,7 +286,7 @@
         double broadcastGapMs = (peers.length - 1) / messagesPerMs();
         beginIncarnation(now);
         boolean hundreds =
-                QuotaCoordinator.isFor(peers.length, settings.sharing().messagesPerSecond());
+                QuotaCoordinator.isRequiredFor(peers.length, settings.sharing().messagesPerSecond());
         if (settings.limits().peerMessages() && hundreds) coordinator = newCoordinator(now);
         else if (settings.limits().peerMessages() && broadcastGapMs > REPLY_TIMEOUT_MS) {
             gossip = new GossipScheduler(now, broadcastGapMs, MAX_TRACKED_CUSTOMERS, random);
@@ -360,7 +360,7 @@
             default -> {
                 if (coordinator == null) queryReplica(now, active,
                         now - request.arrivedMs() < REPLY_TIMEOUT_MS / 2 ? 0 : LEDGER_REPLICAS);
-                else coordinator.want(now, request.id(), customer.named(), request.units(),
+                else coordinator.requestAdmission(now, request.id(), customer.named(), request.units(),
                         giveUpAt(active));
             }
         }
@@ -450,7 +450,7 @@
         leases.tick(now);
         expireQueued(now);
         handleMissedReplies(now);
-        if (coordinator != null) coordinator.beat(now);
+        if (coordinator != null) coordinator.tick(now);
         if (now - surveyedAt >= HOST_SURVEY_INTERVAL_MS) surveyHosts(now);
         handleOverdueAttempts(now);
         adaptSlots(now);
@@ -477,7 +477,7 @@
         if (late == 0) return;
         totalStallMs += late;
         leases.discountStall(late);
-        if (coordinator != null) coordinator.stalled(late);
+        if (coordinator != null) coordinator.extendReplyDeadlines(late);
         pendingQueries.forEach(active -> active.replyDueAt += late);
     }
 
@@ -502,13 +502,13 @@
 
     @Override public void onNoOtherSpenderSince(double now, double since) {
         ceilingFillsSince = Math.min(ceilingFillsSince, since);
-        if (coordinator != null) coordinator.aloneSince(since);
+        if (coordinator != null) coordinator.onNoOtherSpenderSince(since);
     }
 
     @Override public void onReplaced(double now) {
         customers.values().forEach(c -> refill(now, c)); // what has filled up to here belongs to this process
         replacedAt = now;
-        if (coordinator != null) coordinator.replaced(now);
+        if (coordinator != null) coordinator.onReplaced(now);
     }
 
     @Override public void onRestored(double now) {
@@ -517,11 +517,11 @@
         startedAt += now - replacedAt;
         ceilingFillsSince += now - replacedAt;
         replacedAt = Double.POSITIVE_INFINITY;
-        if (coordinator != null) coordinator.restored(now, incarnation);
+        if (coordinator != null) coordinator.onRestored(now, incarnation);
     }
 
     @Override public void onShutdown(double now) {
-        if (coordinator != null) coordinator.leave(now);
+        if (coordinator != null) coordinator.prepareShutdown(now);
     }
 
     @Override public void onProbeResult(double now, String id, Outcome outcome, double latencyMs,
@@ -1008,11 +1008,11 @@
             if (usage != null) counters.increment(Item.HEARD);
             if (usage != null) handleUsageMessage(now, peers[from], usage);
         }
-        QuotaMessage quota = coordinator == null ? null : QuotaMessage.read(data);
+        QuotaMessage quota = coordinator == null ? null : QuotaMessage.decode(data);
         LedgerMessage ledger = quota == null ? LedgerMessage.decode(data) : null;
         if (quota == null && ledger == null) return; // damaged, or of an unknown version
         counters.increment(Item.HEARD);
-        if (coordinator != null) coordinator.heard(now, from, quota);
+        if (coordinator != null) coordinator.onMessage(now, from, quota);
         if (coordinator != null) return;
         Peer peer = peers[from];
         if (!peer.accepts(now, ledger.incarnation(), ledger.serial())) return;
@@ -1243,12 +1243,12 @@
         Customer c = active.customer;
         if (c == null) return;
         c.pending.remove(active);
-        if (!active.admitted && coordinator != null) coordinator.gone(active.request.id());
+        if (!active.admitted && coordinator != null) coordinator.abandonRequest(active.request.id());
         if (!active.admitted) return;
         c.openRequests--;
         if (active.attempts.isEmpty()) { // admitted but never sent: return the units
             c.charge(-active.request.units(), -active.request.units(), DEMAND_WINDOW_MS);
-            if (coordinator != null) coordinator.back(active.grant);
+            if (coordinator != null) coordinator.returnUnits(active.grant);
         }
     }
 
@@ -1375,7 +1375,7 @@
         return counters.takeLine() + " open=" + activeRequests.size() + " out=" + attemptsInFlight
                 + " places=" + (int) slotLimit() + " hosts=" + usableHosts.size() + " cold=" + cold
                 + " avoided=" + avoidedHostCount(now)
-                + (coordinator == null ? "" : coordinator.counts());
+                + (coordinator == null ? "" : coordinator.takeActivityCounts());
     }
 
     @Override public int avoidedHostCount(double now) {
--- a/gateway/src/main/java/marlford/gateway/EngineState.java
+++ b/gateway/src/main/java/marlford/gateway/EngineState.java
@@ -131,7 +131,7 @@
         boolean accepts(double now, int senderIncarnation, int serial) {
             boolean sameIncarnation = incarnation.isKnown() && senderIncarnation == incarnation.number();
             boolean late = sameIncarnation && !LedgerMessage.isLaterSerial(serial, receivedSerial);
-            if (!incarnation.hears(now, senderIncarnation) || late) return false;
+            if (!incarnation.accept(now, senderIncarnation) || late) return false;
             receivedSerial = serial;
             return true;
         }
@@ -204,8 +204,8 @@
             this.refilledAt = now;
         }
 
-        QuotaMessage.Named named() {
-            return new QuotaMessage.Named(id, planNumber, firstGateway, setSize);
+        QuotaMessage.CustomerKey named() {
+            return new QuotaMessage.CustomerKey(id, planNumber, firstGateway, setSize);
         }
 
         /** What this gateway and a peer have reported to each other, empty for each new incarnation of the peer. */
--- a/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
+++ b/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
@@ -48,8 +48,9 @@
         HEARD;
 
         /** The item for a request that was refused while ledger replicas are queried. */
-        public static Item of(QuotaCoordinator.Why why) {
-            return why == QuotaCoordinator.Why.STORE ? QUOTA : why == QuotaCoordinator.Why.CEILING ? CEILING : KEEPER;
+        public static Item of(QuotaCoordinator.Reason why) {
+            return why == QuotaCoordinator.Reason.QUOTA_EXHAUSTED ? QUOTA
+                    : why == QuotaCoordinator.Reason.CEILING_EXHAUSTED ? CEILING : KEEPER;
         }
 
         /** The item for the outcome of an attempt. */
--- a/gateway/src/main/java/marlford/gateway/net/WarmUp.java
+++ b/gateway/src/main/java/marlford/gateway/net/WarmUp.java
@@ -190,7 +190,7 @@
         Settings base = config.settings();
         Sharing sharing = base.sharing();
         // Tiers of hundreds of gateways share quotas by different code; the two nodes are then the first of a tier of that size.
-        boolean largeTier = QuotaCoordinator.isFor(base.gateways(), sharing.messagesPerSecond());
+        boolean largeTier = QuotaCoordinator.isRequiredFor(base.gateways(), sharing.messagesPerSecond());
         Sharing unlimitedSharing = new Sharing(sharing.counter(), sharing.counterPrice(), sharing.meterPeriodMs(),
                 sharing.postPaid(), sharing.maxUnits(), largeTier ? sharing.messagesPerSecond() : UNLIMITED_MESSAGES_PER_SECOND,
                 sharing.peerPrice(), sharing.probePrice(), sharing.crossZonePrice());
--- a/gateway/src/main/java/marlford/gateway/quota/CustomerView.java
+++ b/gateway/src/main/java/marlford/gateway/quota/CustomerView.java
@@ -8,7 +8,7 @@
     // Fraction of the bucket's fill time for which spent units are missing from it, on average.
     private static final double MEAN_ABSENCE_FACTOR = 0.5;
 
-    final QuotaMessage.Named key;
+    final QuotaMessage.CustomerKey key;
     final QuotaTerms terms;
     final LedgerPlacement placement;
     LeaseHolder quotaLease;
@@ -25,7 +25,7 @@
     double unreportedUnits; // Units admitted or refused here without the consent of a replica and not reported yet.
     double unreportedSince;
 
-    CustomerView(QuotaMessage.Named key, QuotaTerms terms, LedgerPlacement placement) {
+    CustomerView(QuotaMessage.CustomerKey key, QuotaTerms terms, LedgerPlacement placement) {
         this.key = key;
         this.terms = terms;
         this.placement = placement;
--- a/gateway/src/main/java/marlford/gateway/quota/LeaseHolder.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LeaseHolder.java
@@ -151,7 +151,7 @@
      *
      * @param serial for a new request
      */
-    QuotaMessage.LeaseRequest nextRequest(double now, int serial, int newOwner, QuotaMessage.Named key) {
+    QuotaMessage.LeaseRequest nextRequest(double now, int serial, int newOwner, QuotaMessage.CustomerKey key) {
         if (openRequest != null && sendCount >= MAX_SENDS) {
             openRequest = null;
             pausedUntil = now + PAUSE_AFTER_NO_GRANT_MS;
@@ -184,7 +184,7 @@
     }
 
     /** Ends the lease. Returns the request that reports this to the owner, or null if there was no lease. */
-    QuotaMessage.LeaseRequest end(double now, int serial, QuotaMessage.Named key) {
+    QuotaMessage.LeaseRequest end(double now, int serial, QuotaMessage.CustomerKey key) {
         double unspent = unitsLeft(now);
         units = 0;
         spentSinceRequest = 0;
--- a/gateway/src/main/java/marlford/gateway/quota/LedgerPlacement.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LedgerPlacement.java
@@ -33,7 +33,7 @@
      * @param gateways number of gateways in the tier, at least as many as in the customer's set
      * @param minShareUnits units that each share of the ceiling must have room for, above 0
      */
-    static LedgerPlacement of(QuotaMessage.Named key, int gateways, QuotaTerms terms, double minShareUnits) {
+    static LedgerPlacement of(QuotaMessage.CustomerKey key, int gateways, QuotaTerms terms, double minShareUnits) {
         int first = 0; // index within the customer's set
         long best = 0;
         for (int i = 0; i < key.spread(); i++) {
@@ -55,7 +55,7 @@
     }
 
     /** Adds the two standby replicas that lie farthest apart, or one if the set has only two gateways. */
-    private static void addStandbys(QuotaMessage.Named key, int gateways, List<Integer> replicas) {
+    private static void addStandbys(QuotaMessage.CustomerKey key, int gateways, List<Integer> replicas) {
         int first = replicas.get(0);
         int[] near = IntStream.rangeClosed(1, MAX_REPLICAS).flatMap(d -> IntStream.of(first + d, first - d))
                 .map(g -> Math.floorMod(g, gateways)).toArray(); // fallback for a set too small for the distances
--- a/gateway/src/main/java/marlford/gateway/quota/PeerIncarnation.java
+++ b/gateway/src/main/java/marlford/gateway/quota/PeerIncarnation.java
@@ -23,7 +23,7 @@
      * Handles the incarnation number of a received message. Returns whether it is the present incarnation, which may begin
      * with this message.
      */
-    public boolean hears(double now, int received) {
+    public boolean accept(double now, int received) {
         if (known && received == number) {
             candidate = null;
             return true;
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
@@ -105,7 +105,7 @@
      * Why a request was admitted or refused: units were granted or leased, the quota lacks units, the ceiling lacks units, or
      * the decision was made without the consent of a ledger replica.
      */
-    public enum Why { GRANTED, STORE, CEILING, DEGRADED_MODE }
+    public enum Reason { GRANTED, QUOTA_EXHAUSTED, CEILING_EXHAUSTED, DEGRADED_MODE }
 
     /**
      * Units granted by a replica, to be returned if they are not used.
@@ -118,13 +118,13 @@
     /**
      * The decision on a request.
      *
-     * @param in whether the request is admitted
-     * @param why the reason
-     * @param leaveBy time by which the request must have been sent on, in milliseconds
-     * @param retryMs time in milliseconds until the bucket will have filled enough, 0 if that is not known
+     * @param admitted whether the request is admitted
+     * @param reason the reason
+     * @param sendBy time by which the request must have been sent on, in milliseconds
+     * @param retryAfterMs time in milliseconds until the bucket will have filled enough, 0 if that is not known
      * @param grant null if there is nothing to return
      */
-    public record Decision(boolean in, Why why, double leaveBy, double retryMs, Grant grant) { }
+    public record Decision(boolean admitted, Reason reason, double sendBy, double retryAfterMs, Grant grant) { }
 
     /** Counts of events since they were last logged. */
     private static final class Counts {
@@ -138,12 +138,12 @@
     }
 
     /** Receives outgoing messages and decisions. */
-    public interface Link {
+    public interface Callbacks {
         /** Sends an encoded message to a peer. */
-        void tell(int peer, byte[] data);
+        void sendToPeer(int peer, byte[] data);
 
         /** Receives the decision on the request with this id. */
-        void decided(double now, String id, Decision decision);
+        void onDecision(double now, String id, Decision decision);
     }
 
     /** What this gateway knows of one peer. */
@@ -165,7 +165,7 @@
     private record ReceivedHint(double at, QuotaMessage.DemandHint hint) { }
 
     private final Config config;
-    private final Link link;
+    private final Callbacks link;
     private final Random random;
     private final Peer[] peers;
     private final Map<Long, CustomerView> customers = new HashMap<>();
@@ -241,7 +241,7 @@
      * Returns whether the tier is so large that even a broadcast of each gateway to all others could be sent only once per
      * second or less often.
      */
-    public static boolean isFor(int gateways, double messagesPerSecond) {
+    public static boolean isRequiredFor(int gateways, double messagesPerSecond) {
         return gateways - 1 >= USED_BUDGET_SHARE * Math.max(1, messagesPerSecond) * MAX_BROADCAST_INTERVAL_MS / 1000;
     }
 
@@ -250,7 +250,7 @@
      *
      * @param incarnation of this gateway; later ones are greater, compared by difference
      */
-    public QuotaCoordinator(double now, Config config, int incarnation, Random random, Link link) {
+    public QuotaCoordinator(double now, Config config, int incarnation, Random random, Callbacks link) {
         this.config = config;
         this.link = link;
         this.random = random;
@@ -266,18 +266,18 @@
     }
 
     /** Declares that no earlier incarnation of this gateway has granted anything since the given time. */
-    public void aloneSince(double since) {
+    public void onNoOtherSpenderSince(double since) {
         fillingSince = Math.min(fillingSince, since);
     }
 
     /** Declares that another process of this gateway holds the right to fill buckets from now on. */
-    public void replaced(double now) {
+    public void onReplaced(double now) {
         ledgers.values().forEach(ledger -> ledger.advanceTo(now, new CeilingShare.FillMode(true, 1)));
         filling = false;
     }
 
     /** Declares that the other process is gone, together with its knowledge and with what it filled meanwhile. */
-    public void restored(double now, int newIncarnation) {
+    public void onRestored(double now, int newIncarnation) {
         filling = true;
         incarnation = newIncarnation;
         fillingSince = now;
@@ -293,7 +293,7 @@
      * Extends the deadlines of answers by the time for which this event loop was stalled: messages that arrived meanwhile
      * are only read now.
      */
-    public void stalled(double ms) {
+    public void extendReplyDeadlines(double ms) {
         openQueries.values().forEach(pending -> pending.replyDueAt += ms);
     }
 
@@ -306,15 +306,15 @@
     // ---- admission
 
     /**
-     * Decides on a request, at once or when a ledger replica has answered. The decision is passed to the {@link Link}
+     * Decides on a request, at once or when a ledger replica has answered. The decision is passed to the {@link Callbacks}
      * exactly once, unless the request is abandoned first.
      *
      * @param deadlineMs time at which the request must be decided at the latest
      */
-    public void want(double now, String id, QuotaMessage.Named key, double units, double deadlineMs) {
+    public void requestAdmission(double now, String id, QuotaMessage.CustomerKey key, double units, double deadlineMs) {
         CustomerView view = customerView(now, key);
         if (view == null) {
-            link.decided(now, id, new Decision(false, Why.DEGRADED_MODE, 0, 0, null));
+            link.onDecision(now, id, new Decision(false, Reason.DEGRADED_MODE, 0, 0, null));
             return;
         }
         PendingAdmission pending = new PendingAdmission(id, view, units, deadlineMs);
@@ -337,15 +337,15 @@
         if (view.hasCeiling()) {
             seekCeilingUnits(now, pending);
         } else {
-            link.decided(now, id, new Decision(true, Why.GRANTED, Double.POSITIVE_INFINITY, 0, pending.quotaGrant));
+            link.onDecision(now, id, new Decision(true, Reason.GRANTED, Double.POSITIVE_INFINITY, 0, pending.quotaGrant));
         }
     }
 
     /** Abandons a request: its decision is no longer wanted, and units granted for it are returned. */
-    public void gone(String id) {
+    public void abandonRequest(String id) {
         PendingAdmission queued = lenderQueue.remove(id);
         if (queued != null) {
-            back(queued.quotaGrant);
+            returnUnits(queued.quotaGrant);
             return;
         }
         for (Iterator<PendingAdmission> it = openQueries.values().iterator(); it.hasNext();) {
@@ -353,7 +353,7 @@
             if (pending.id.equals(id)) {
                 it.remove();
                 abandon(pending);
-                back(pending.quotaGrant);
+                returnUnits(pending.quotaGrant);
                 return;
             }
         }
@@ -363,7 +363,7 @@
      * Returns granted units that were never sent on; does nothing for null. The message leaves with the next message to the
      * same gateway or with the next tick.
      */
-    public void back(Grant grant) {
+    public void returnUnits(Grant grant) {
         if (grant == null) {
             return;
         }
@@ -375,7 +375,7 @@
             return;
         }
         if (grant.grantor() != config.self()) {
-            enqueue(grant.grantor(), new QuotaMessage.Back(grant.serial()));
+            enqueue(grant.grantor(), new QuotaMessage.UnitsReturned(grant.serial()));
             return;
         }
         QuotaLedger ledger = ledgers.get(grant.customer());
@@ -385,7 +385,7 @@
     }
 
     /** Finds or adds the entry of a customer; returns null if the table is full or the plan is unknown. */
-    private CustomerView customerView(double now, QuotaMessage.Named key) {
+    private CustomerView customerView(double now, QuotaMessage.CustomerKey key) {
         CustomerView view = customers.get(key.customer());
         if (view == null && customers.size() < config.maxCustomers() && key.plan() < config.plans().size()) {
             view = new CustomerView(key, config.plans().get(key.plan()), placementOf(key));
@@ -401,7 +401,7 @@
         return view;
     }
 
-    private LedgerPlacement placementOf(QuotaMessage.Named key) {
+    private LedgerPlacement placementOf(QuotaMessage.CustomerKey key) {
         return LedgerPlacement.of(key, peers.length, config.plans().get(key.plan()), REQUESTS_PER_CEILING_SHARE * config.maxUnits());
     }
 
@@ -423,7 +423,7 @@
         if (now - peer.probedAt >= intervalMs && probeBudget >= 1) {
             probeBudget--;
             peer.probedAt = now;
-            enqueue(gateway, new QuotaMessage.Presence(QuotaMessage.State.PROBE));
+            enqueue(gateway, new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.PROBE));
         }
     }
 
@@ -462,7 +462,7 @@
             }
             if (isLikelyRefused(now, view, pending.units)) {
                 view.refusedLocally += pending.units;
-                refuse(now, pending, Why.STORE);
+                refuse(now, pending, Reason.QUOTA_EXHAUSTED);
                 return;
             }
             if (!isBudgetAmple(now) && isPlentiful(now, view)) {
@@ -510,8 +510,8 @@
                 return;
             }
         }
-        back(pending.quotaGrant);
-        refuse(now, pending, Why.CEILING);
+        returnUnits(pending.quotaGrant);
+        refuse(now, pending, Reason.CEILING_EXHAUSTED);
     }
 
     /** Returns whether any share holder may still be queried for the request. */
@@ -535,8 +535,8 @@
     /** Sends queries that waited for message budget, as many in one message as one gateway can be sent. */
     private void sendQueuedQueries(double now) {
         for (PendingAdmission pending : lenderQueue.expired(now, REPLY_TIMEOUT_MS)) {
-            back(pending.quotaGrant);
-            refuse(now, pending, Why.CEILING);
+            returnUnits(pending.quotaGrant);
+            refuse(now, pending, Reason.CEILING_EXHAUSTED);
         }
         while (!lenderQueue.isEmpty() && openQueries.size() < MAX_OPEN_QUERIES && takeBudget(now)) {
             LenderQueue.Batch batch = lenderQueue.next((pending, peer) -> isUsableLender(now, pending, peer));
@@ -635,7 +635,7 @@
     private void enqueueQuery(double now, PendingAdmission pending) {
         pending.sendCount++;
         pending.replyDueAt = now + REPLY_TIMEOUT_MS;
-        enqueue(pending.peer, new QuotaMessage.Ask(
+        enqueue(pending.peer, new QuotaMessage.Query(
                 pending.serial, pending.customer.key, pending.units, pending.customer.refusedLocally, pending.scope));
         pending.customer.refusedLocally = 0;
         if (!peers[pending.peer].supportsLeases) {
@@ -677,8 +677,8 @@
             if (now < leaveBy) {
                 admit(now, pending, leaveBy);
             } else { // the units arrived too late to be used
-                back(pending.quotaGrant);
-                refuse(now, pending, Why.CEILING);
+                returnUnits(pending.quotaGrant);
+                refuse(now, pending, Reason.CEILING_EXHAUSTED);
             }
         } else if (verdict == QuotaMessage.Verdict.GRANTED || verdict == QuotaMessage.Verdict.CEILING_EXHAUSTED) {
             if (verdict == QuotaMessage.Verdict.CEILING_EXHAUSTED) {
@@ -686,16 +686,16 @@
             }
             seekCeilingUnits(now, pending);
         } else { // if no replica can decide, two gateways were given different data about this customer
-            back(pending.quotaGrant);
-            refuse(now, pending, verdict == QuotaMessage.Verdict.STORE ? Why.STORE : Why.DEGRADED_MODE);
+            returnUnits(pending.quotaGrant);
+            refuse(now, pending, verdict == QuotaMessage.Verdict.QUOTA_EXHAUSTED ? Reason.QUOTA_EXHAUSTED : Reason.DEGRADED_MODE);
         }
     }
 
-    private void refuse(double now, PendingAdmission pending, Why why) {
+    private void refuse(double now, PendingAdmission pending, Reason why) {
         CustomerView view = pending.customer;
         double missingUnits = pending.units - (view.level + view.terms.rate() * view.reportAgeMs(now) / 1000);
-        double retryMs = why == Why.STORE && view.terms.rate() > 0 ? 1000 * Math.max(0, missingUnits) / view.terms.rate() : 0;
-        link.decided(now, pending.id, new Decision(false, why, 0, retryMs, null));
+        double retryMs = why == Reason.QUOTA_EXHAUSTED && view.terms.rate() > 0 ? 1000 * Math.max(0, missingUnits) / view.terms.rate() : 0;
+        link.onDecision(now, pending.id, new Decision(false, why, 0, retryMs, null));
     }
 
     /**
@@ -714,7 +714,7 @@
                 view.unreportedUnits += pending.units;
                 reports.add(now, view);
             }
-            refuse(now, pending, Why.DEGRADED_MODE);
+            refuse(now, pending, Reason.DEGRADED_MODE);
             return;
         }
         pending.degraded = true;
@@ -736,8 +736,8 @@
                 reports.add(now, view);
             }
         }
-        link.decided(now, pending.id,
-                new Decision(true, pending.degraded ? Why.DEGRADED_MODE : Why.GRANTED, leaveBy, 0, pending.quotaGrant));
+        link.onDecision(now, pending.id,
+                new Decision(true, pending.degraded ? Reason.DEGRADED_MODE : Reason.GRANTED, leaveBy, 0, pending.quotaGrant));
     }
 
     // ---- leases
@@ -844,7 +844,7 @@
      * Handles missing answers, sends ledgers to standby replicas, renews leases and forgets idle customers; to be called
      * every few tens of milliseconds.
      */
-    public void beat(double now) {
+    public void tick(double now) {
         if (announcements < ANNOUNCEMENT_DELAYS_MS.length && now - firstHeardAt >= ANNOUNCEMENT_DELAYS_MS[announcements]) {
             announcements++;
             announce();
@@ -875,7 +875,7 @@
     /** Announces this gateway. Once peers have sent messages the tier is in service, and may keep ledgers for this gateway. */
     private void announce() {
         IntStream.of(LedgerPlacement.potentialStandbys(config.self(), peers.length))
-                .forEach(g -> enqueue(g, new QuotaMessage.Presence(QuotaMessage.State.SERVING)));
+                .forEach(g -> enqueue(g, new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.SERVING)));
     }
 
     /** Returns whether this gateway is in charge of the ledger and its customer requests more than the quota allows. */
@@ -966,7 +966,7 @@
 
     private void enqueueSync(double now, QuotaLedger ledger, int to) {
         ledger.advanceTo(now, fillMode(now, ledger));
-        enqueue(to, new QuotaMessage.Sync(ledger.key, ledger.fullness(), ledger.demand()));
+        enqueue(to, new QuotaMessage.LedgerSync(ledger.key, ledger.fullness(), ledger.demand()));
     }
 
     /**
@@ -974,10 +974,10 @@
      * silence soon enough. A message to all of them would cost each one message, and only one in six would have sent a
      * query before the return.
      */
-    public void leave(double now) {
+    public void prepareShutdown(double now) {
         ledgers.values().forEach(ledger -> syncStandby(now, ledger));
         IntStream.of(LedgerPlacement.potentialStandbys(config.self(), peers.length))
-                .forEach(g -> enqueue(g, new QuotaMessage.Presence(QuotaMessage.State.LEAVES)));
+                .forEach(g -> enqueue(g, new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.LEAVING)));
         flush();
     }
 
@@ -988,14 +988,14 @@
      *
      * @param message null if it was of an older version
      */
-    public void heard(double now, int from, QuotaMessage message) {
+    public void onMessage(double now, int from, QuotaMessage message) {
         if (message == null) {
             olderVersionHeardAt = now;
             return;
         }
         Peer peer = peers[from];
-        boolean begins = !peer.incarnation.isKnown() || message.life() != peer.incarnation.number();
-        if (!peer.incarnation.hears(now, message.life())) {
+        boolean begins = !peer.incarnation.isKnown() || message.incarnation() != peer.incarnation.number();
+        if (!peer.incarnation.accept(now, message.incarnation())) {
             return;
         }
         if (begins) {
@@ -1011,7 +1011,7 @@
         for (QuotaMessage.Item item : message.items()) {
             if (item instanceof QuotaMessage.LeaseCapable) {
                 peer.supportsLeases = true;
-                if (message.items().stream().anyMatch(i -> i instanceof QuotaMessage.Ask)) { // repeated until it is answered
+                if (message.items().stream().anyMatch(i -> i instanceof QuotaMessage.Query)) { // repeated until it is answered
                     enqueue(from, item);
                 }
             } else if (item instanceof QuotaMessage.LeaseRequest r) {
@@ -1022,25 +1022,25 @@
                 onUsageReport(now, from, peer, u);
             } else if (item instanceof QuotaMessage.LeaseGrant g && answersThisIncarnation) {
                 onLeaseGrant(now, from, peer, g);
-            } else if (item instanceof QuotaMessage.Ask a) {
+            } else if (item instanceof QuotaMessage.Query a) {
                 onQuery(now, from, peer, a);
-            } else if (item instanceof QuotaMessage.Answer a && answersThisIncarnation) {
+            } else if (item instanceof QuotaMessage.Reply a && answersThisIncarnation) {
                 onAnswer(now, from, a);
-            } else if (item instanceof QuotaMessage.Back back) {
+            } else if (item instanceof QuotaMessage.UnitsReturned back) {
                 peer.replyCache.returnUnits(now, back.serial());
             } else if (item instanceof QuotaMessage.UnitsSpent u) {
                 onUnitsSpent(now, from, peer, u);
-            } else if (item instanceof QuotaMessage.Sync s && fresh) {
+            } else if (item instanceof QuotaMessage.LedgerSync s && fresh) {
                 peer.hasSynced = true;
                 peer.syncSequence = message.sequence();
                 onSync(now, from, s);
             } else if (item instanceof QuotaMessage.DemandHint h) {
                 onHint(now, h);
-            } else if (item instanceof QuotaMessage.Presence s) {
+            } else if (item instanceof QuotaMessage.PresenceNotice s) {
                 onPresence(now, from, peer, s.state());
             }
         }
-        if (message.items().stream().noneMatch(i -> i instanceof QuotaMessage.Answer || i instanceof QuotaMessage.LeaseGrant
+        if (message.items().stream().noneMatch(i -> i instanceof QuotaMessage.Reply || i instanceof QuotaMessage.LeaseGrant
                 || i instanceof QuotaMessage.DemandHint)) { // answers to messages of this gateway were counted with those
             budget = Math.max(Math.min(budget, 0), refillBudget(now) - 1);
         }
@@ -1063,7 +1063,7 @@
      * Finds or creates the ledger of a customer; returns null if this gateway is no replica and no share holder, if the table
      * is full, or if the ledger was created for another plan or set.
      */
-    private QuotaLedger ledgerFor(double now, QuotaMessage.Named key) {
+    private QuotaLedger ledgerFor(double now, QuotaMessage.CustomerKey key) {
         QuotaLedger ledger = ledgers.get(key.customer());
         if (ledger != null) {
             return ledger.key.equals(key) ? ledger : null; // the plan and the set received first stay in force
@@ -1087,12 +1087,12 @@
      * Returns the ledger of a customer that a peer's message is about; null also if the peer or this gateway cannot belong
      * to its set.
      */
-    private QuotaLedger ledgerForMessage(double now, QuotaMessage.Named key, int from) {
+    private QuotaLedger ledgerForMessage(double now, QuotaMessage.CustomerKey key, int from) {
         boolean possible = key.holds(from, peers.length) && key.holds(config.self(), peers.length);
         return possible ? ledgerFor(now, key) : null;
     }
 
-    private void onQuery(double now, int from, Peer peer, QuotaMessage.Ask query) {
+    private void onQuery(double now, int from, Peer peer, QuotaMessage.Query query) {
         ReplyCache.CachedVerdict cached = peer.replyCache.find(now, query.serial());
         boolean isNew = cached == null;
         QuotaLedger ledger = isNew ? ledgerForMessage(now, query.key(), from) : cached.ledger();
@@ -1110,7 +1110,7 @@
         if (isNew && preceding >= 0 && cached.units() > 0) { // two replicas receive queries for one ledger at present
             enqueue(preceding, new QuotaMessage.UnitsSpent(nextSerial(), query.key(), cached.units()));
         }
-        enqueue(from, new QuotaMessage.Answer(query.serial(), cached.verdict(), ledger == null ? 0 : ledger.grantable(now),
+        enqueue(from, new QuotaMessage.Reply(query.serial(), cached.verdict(), ledger == null ? 0 : ledger.grantable(now),
                 ledger == null ? 0 : ledger.demand(), preceding >= 0));
         enqueueHints(now, from);
     }
@@ -1134,13 +1134,13 @@
         }
     }
 
-    private void onAnswer(double now, int from, QuotaMessage.Answer answer) {
+    private void onAnswer(double now, int from, QuotaMessage.Reply answer) {
         PendingAdmission pending = openQueries.get(answer.serial());
         if (pending == null || pending.peer != from) {
             boolean quotaGranted = answer.verdict() == QuotaMessage.Verdict.GRANTED
                     || answer.verdict() == QuotaMessage.Verdict.CEILING_EXHAUSTED;
             if (abandoned.remove(answer.serial()) && quotaGranted) {
-                enqueue(from, new QuotaMessage.Back(answer.serial()));
+                enqueue(from, new QuotaMessage.UnitsReturned(answer.serial()));
             }
             return;
         }
@@ -1158,7 +1158,7 @@
         onVerdict(now, pending, answer.verdict(), new Grant(from, answer.serial(), pending.customer.key.customer(), pending.units));
     }
 
-    private void onSync(double now, int from, QuotaMessage.Sync sync) {
+    private void onSync(double now, int from, QuotaMessage.LedgerSync sync) {
         QuotaLedger ledger = ledgerForMessage(now, sync.key(), from);
         int senderIndex = ledger == null ? -1 : ledger.placement.replicaIndex(from);
         int ownIndex = ledger == null ? -1 : ledger.placement.replicaIndex(config.self());
@@ -1171,7 +1171,7 @@
         }
     }
 
-    private void onPresence(double now, int from, Peer peer, QuotaMessage.State state) {
+    private void onPresence(double now, int from, Peer peer, QuotaMessage.PresenceState state) {
         switch (state) {
             case SERVING -> {
                 peer.shuttingDown = false;
@@ -1183,14 +1183,14 @@
                     }
                 }
             }
-            case LEAVES -> peer.shuttingDown = true;
-            case PROBE -> enqueue(from, new QuotaMessage.Presence(QuotaMessage.State.PROBE_REPLY));
+            case LEAVING -> peer.shuttingDown = true;
+            case PROBE -> enqueue(from, new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.PROBE_REPLY));
             default -> { }
         }
     }
 
     /** Returns {@code name=count} of the events since the last call. */
-    public String counts() {
+    public String takeActivityCounts() {
         Counts taken = counts;
         counts = new Counts();
         return " asked=" + taken.queries + " again=" + taken.retransmissions + " missed=" + taken.misses
@@ -1226,6 +1226,6 @@
 
     private void sendNow(int to, int receiverIncarnation, List<QuotaMessage.Item> items) {
         sequence = sequence + 1 & QuotaMessage.UINT16_MASK;
-        link.tell(to, new QuotaMessage(incarnation, receiverIncarnation & QuotaMessage.UINT16_MASK, sequence, items).bytes());
+        link.sendToPeer(to, new QuotaMessage(incarnation, receiverIncarnation & QuotaMessage.UINT16_MASK, sequence, items).encode());
     }
 }
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaLedger.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaLedger.java
@@ -15,7 +15,7 @@
     static final double OVERCOMMIT_SHARE = 0.25;
     private static final double DEMAND_AVERAGING_MS = 2000; // longer than the gaps between requests
 
-    final QuotaMessage.Named key;
+    final QuotaMessage.CustomerKey key;
     final LedgerPlacement placement;
     final QuotaTerms terms;
     private final LeaseLedger leases = new LeaseLedger();
@@ -29,7 +29,7 @@
     private double demand;
     private double updatedAt;
 
-    QuotaLedger(QuotaMessage.Named key, LedgerPlacement placement, QuotaTerms terms, CeilingShare ceilingShare, double now) {
+    QuotaLedger(QuotaMessage.CustomerKey key, LedgerPlacement placement, QuotaTerms terms, CeilingShare ceilingShare, double now) {
         this.key = key;
         this.placement = placement;
         this.terms = terms;
@@ -66,7 +66,7 @@
         if (scope != QuotaMessage.UnitScope.CEILING) {
             demand += (units + refusedLocally) / DEMAND_AVERAGING_MS * 1000;
             if (terms.rate() > 0 && level + unspentLeases(now) - spentElsewhere < units) {
-                return QuotaMessage.Verdict.STORE;
+                return QuotaMessage.Verdict.QUOTA_EXHAUSTED;
             }
             level -= terms.rate() > 0 ? units : 0;
         }
@@ -143,7 +143,7 @@
      * Applies the state that another replica sent: it replaces the local state or, if {@code replaces} is false, lowers the
      * level and raises the demand to the values sent.
      */
-    void applySync(double now, QuotaMessage.Sync sync, boolean replaces, CeilingShare.FillMode fill) {
+    void applySync(double now, QuotaMessage.LedgerSync sync, boolean replaces, CeilingShare.FillMode fill) {
         advanceTo(now, fill);
         double sentLevel = sync.fullness() * terms.burst();
         level = replaces ? sentLevel : Math.min(level, sentLevel);
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaMessage.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaMessage.java
@@ -10,12 +10,12 @@
  * receiver's incarnation that it answers, the sender's sequence number, then the items. This type translates only; it
  * decides nothing.
  *
- * @param life incarnation of the sender; a later incarnation restarts all counters
+ * @param incarnation incarnation of the sender; a later incarnation restarts all counters
  * @param answeredIncarnation lowest 16 bits of the incarnation that is answered; 0 if the message answers nothing
  * @param sequence number of messages sent by this incarnation up to and including this one, 16 bits, wraps around
  * @param items as many as fit into {@link #MAX_BYTES}
  */
-public record QuotaMessage(int life, int answeredIncarnation, int sequence, List<Item> items) {
+public record QuotaMessage(int incarnation, int answeredIncarnation, int sequence, List<Item> items) {
     /** Size of the largest message, in bytes. */
     public static final int MAX_BYTES = 256;
     static final int HEADER_BYTES = 11;
@@ -34,7 +34,7 @@
         /** The units are granted to the sender of the query. */
         GRANTED,
         /** The customer's quota bucket lacks the units. */
-        STORE,
+        QUOTA_EXHAUSTED,
         /** The quota units are granted, but this replica's share of the ceiling lacks the units. */
         CEILING_EXHAUSTED,
         /** This gateway cannot decide: it has no room for the ledger, or the set of gateways in the query is impossible. */
@@ -43,7 +43,7 @@
 
     /** One item of a message. */
     public sealed interface Item
-            permits Ask, Answer, Back, UnitsSpent, Sync, DemandHint, Presence, LeaseCapable, LeaseRequest, LeaseGrant,
+            permits Query, Reply, UnitsReturned, UnitsSpent, LedgerSync, DemandHint, PresenceNotice, LeaseCapable, LeaseRequest, LeaseGrant,
             UsageReport { }
 
     /**
@@ -53,7 +53,7 @@
      * @param first index of the first gateway of the set
      * @param spread number of consecutive gateways in the set, with wraparound
      */
-    public record Named(long customer, int plan, int first, int spread) {
+    public record CustomerKey(long customer, int plan, int first, int spread) {
         /**
          * Returns whether the gateway belongs to the set in a tier of this size; always false if the set is larger than the
          * tier.
@@ -72,7 +72,7 @@
      *     to 63.75
      * @param scope which units are requested
      */
-    public record Ask(int serial, Named key, double units, double refusedLocally, UnitScope scope) implements Item { }
+    public record Query(int serial, CustomerKey key, double units, double refusedLocally, UnitScope scope) implements Item { }
 
     /** Which units an item is about. */
     public enum UnitScope {
@@ -91,21 +91,21 @@
      * @param demand units per second requested at all gateways, 0 to 254
      * @param fromStandby whether a replica that precedes the sender is reachable, as far as the sender knows
      */
-    public record Answer(int serial, Verdict verdict, double fullness, double demand, boolean fromStandby)
+    public record Reply(int serial, Verdict verdict, double fullness, double demand, boolean fromStandby)
             implements Item { }
 
     /** Returns the quota units granted for the query with this serial: they were not spent and never will be. */
-    public record Back(int serial) implements Item { }
+    public record UnitsReturned(int serial) implements Item { }
 
     /**
      * Reports units that were admitted without the consent of the receiving ledger replica.
      *
      * @param units 0 to 63.75
      */
-    public record UnitsSpent(int serial, Named key, double units) implements Item { }
+    public record UnitsSpent(int serial, CustomerKey key, double units) implements Item { }
 
     /** The state of a ledger, for a replica that may have to take over, or for a restarted one that precedes the sender. */
-    public record Sync(Named key, double fullness, double demand) implements Item { }
+    public record LedgerSync(CustomerKey key, double fullness, double demand) implements Item { }
 
     /**
      * Load of a customer as its ledger replica knows it, for gateways that may have to decide without a query. It is sent
@@ -114,14 +114,14 @@
     public record DemandHint(long customer, int plan, double fullness, double demand) implements Item { }
 
     /** A notice about the sender's own availability. */
-    public record Presence(State state) implements Item { }
+    public record PresenceNotice(PresenceState state) implements Item { }
 
     /** What a presence notice says. */
-    public enum State {
+    public enum PresenceState {
         /** The sender serves from now on and holds no ledger of an earlier incarnation. */
         SERVING,
         /** The sender is about to shut down: queries have to go to other replicas. */
-        LEAVES,
+        LEAVING,
         /** The sender asks whether the receiver is reachable. */
         PROBE,
         /** The sender is reachable; the reply to a probe. */
@@ -130,7 +130,7 @@
 
     /**
      * Declares that the sender understands {@link LeaseRequest} and {@link LeaseGrant}, which earlier versions cannot
-     * decode. It is encoded as two consecutive presence notices with {@link State#PROBE_REPLY}: earlier versions ignore
+     * decode. It is encoded as two consecutive presence notices with {@link PresenceState#PROBE_REPLY}: earlier versions ignore
      * these and never send two of them in one message.
      */
     public record LeaseCapable() implements Item { }
@@ -146,7 +146,7 @@
      * @param returned units of earlier grants that were not spent and never will be, rounded down; not included in
      *     {@code held}
      */
-    public record LeaseRequest(int serial, Named key, UnitScope scope, double units, double held, double returned)
+    public record LeaseRequest(int serial, CustomerKey key, UnitScope scope, double units, double held, double returned)
             implements Item { }
 
     /**
@@ -165,7 +165,7 @@
      * @param units admitted, 0 to 63.75
      * @param attempted units admitted or refused, 0 to 63.75
      */
-    public record UsageReport(int serial, Named key, double units, double attempted) implements Item { }
+    public record UsageReport(int serial, CustomerKey key, double units, double attempted) implements Item { }
 
     private static final int KIND_LEASE = 0; // The flags tell a usage report, a request and a grant apart.
     private static final int LEASE_FLAGS_USAGE_REPORT = 0;
@@ -184,7 +184,7 @@
 
     /** Returns the size of an encoded item in bytes. */
     static int encodedSize(Item item) {
-        if (item instanceof Ask) {
+        if (item instanceof Query) {
             return 14;
         }
         if (item instanceof DemandHint) {
@@ -202,7 +202,8 @@
         if (item instanceof LeaseCapable) {
             return 2;
         }
-        return item instanceof Sync ? 12 : item instanceof UnitsSpent ? 13 : item instanceof Answer ? 5 : item instanceof Back ? 3 : 1;
+        return item instanceof LedgerSync ? 12 : item instanceof UnitsSpent ? 13
+                : item instanceof Reply ? 5 : item instanceof UnitsReturned ? 3 : 1;
     }
 
     /**
@@ -210,33 +211,33 @@
      *
      * @throws IllegalArgumentException if the items exceed the maximum message size
      */
-    public byte[] bytes() {
+    public byte[] encode() {
         int size = HEADER_BYTES + items.stream().mapToInt(QuotaMessage::encodedSize).sum();
         if (size > MAX_BYTES) {
             throw new IllegalArgumentException("message exceeds " + MAX_BYTES + " bytes: its items need " + size + " bytes");
         }
         ByteBuffer b = Frame.begin(VERSION, size);
-        b.putInt(life).putShort((short) answeredIncarnation).putShort((short) sequence);
+        b.putInt(incarnation).putShort((short) answeredIncarnation).putShort((short) sequence);
         items.forEach(i -> put(b, i));
         return Frame.end(b);
     }
 
     private static void put(ByteBuffer b, Item item) {
-        if (item instanceof Ask a) {
+        if (item instanceof Query a) {
             b.put((byte) (KIND_QUERY | a.scope.ordinal() << FLAGS_SHIFT)).putShort((short) a.serial);
             put(b, a.key);
             b.put(toFixedPoint(a.units * UNITS_SCALE)).put(toFixedPoint(a.refusedLocally * UNITS_SCALE));
-        } else if (item instanceof Answer a) {
+        } else if (item instanceof Reply a) {
             int flags = a.verdict.ordinal() | (a.fromStandby ? REPLY_FLAG_FROM_STANDBY : 0);
             b.put((byte) (KIND_REPLY | flags << FLAGS_SHIFT)).putShort((short) a.serial);
             put(b, a.fullness, a.demand);
-        } else if (item instanceof Back back) {
+        } else if (item instanceof UnitsReturned back) {
             b.put((byte) KIND_UNITS_RETURNED).putShort((short) back.serial);
         } else if (item instanceof UnitsSpent u) {
             b.put((byte) KIND_UNITS_SPENT).putShort((short) u.serial);
             put(b, u.key);
             b.put(toFixedPoint(u.units * UNITS_SCALE));
-        } else if (item instanceof Sync s) {
+        } else if (item instanceof LedgerSync s) {
             b.put((byte) KIND_SYNC);
             put(b, s.key);
             put(b, s.fullness, s.demand);
@@ -259,20 +260,20 @@
             b.put(toFixedPoint(u.units * UNITS_SCALE)).put(toFixedPoint(u.attempted * UNITS_SCALE));
         } else if (item instanceof LeaseCapable) {
             b.put(probeReplyByte()).put(probeReplyByte());
-        } else if (item instanceof Presence p) {
+        } else if (item instanceof PresenceNotice p) {
             b.put((byte) (KIND_PRESENCE | p.state.ordinal() << FLAGS_SHIFT));
         }
     }
 
     private static byte probeReplyByte() {
-        return (byte) (KIND_PRESENCE | State.PROBE_REPLY.ordinal() << FLAGS_SHIFT);
+        return (byte) (KIND_PRESENCE | PresenceState.PROBE_REPLY.ordinal() << FLAGS_SHIFT);
     }
 
     private static void put(ByteBuffer b, long customer, int plan) {
         b.put((byte) (plan << 1 | (int) (customer >>> 32) & 1)).putInt((int) customer);
     }
 
-    private static void put(ByteBuffer b, Named n) {
+    private static void put(ByteBuffer b, CustomerKey n) {
         put(b, n.customer, n.plan);
         b.putShort((short) n.first).putShort((short) n.spread);
     }
@@ -288,7 +289,7 @@
     }
 
     /** Decodes a message. Returns null if the bytes are not a message of this version, whole and undamaged. */
-    public static QuotaMessage read(byte[] data) {
+    public static QuotaMessage decode(byte[] data) {
         ByteBuffer b = Frame.open(data, VERSION, HEADER_BYTES, MAX_BYTES);
         if (b == null) {
             return null;
@@ -325,13 +326,13 @@
         }
         return switch (head & KIND_MASK) {
             case KIND_QUERY -> flags < UnitScope.values().length
-                    ? new Ask(b.getShort() & UINT16_MASK, readKey(b), readAmount(b), readAmount(b), UnitScope.values()[flags]) : null;
-            case KIND_REPLY -> flags < 2 * REPLY_FLAG_FROM_STANDBY ? new Answer(b.getShort() & UINT16_MASK,
+                    ? new Query(b.getShort() & UINT16_MASK, readKey(b), readAmount(b), readAmount(b), UnitScope.values()[flags]) : null;
+            case KIND_REPLY -> flags < 2 * REPLY_FLAG_FROM_STANDBY ? new Reply(b.getShort() & UINT16_MASK,
                     Verdict.values()[flags % REPLY_FLAG_FROM_STANDBY], readFullness(b), readDemand(b),
                     flags >= REPLY_FLAG_FROM_STANDBY) : null;
-            case KIND_UNITS_RETURNED -> new Back(b.getShort() & UINT16_MASK);
+            case KIND_UNITS_RETURNED -> new UnitsReturned(b.getShort() & UINT16_MASK);
             case KIND_UNITS_SPENT -> new UnitsSpent(b.getShort() & UINT16_MASK, readKey(b), readAmount(b));
-            case KIND_SYNC -> new Sync(readKey(b), readFullness(b), readDemand(b));
+            case KIND_SYNC -> new LedgerSync(readKey(b), readFullness(b), readDemand(b));
             case KIND_HINT -> readHint(b);
             case KIND_LEASE -> readLeaseItem(flags, b);
             default -> readPresence(flags, b);
@@ -339,14 +340,14 @@
     }
 
     private static Item readPresence(int flags, ByteBuffer b) {
-        if (flags >= State.values().length) {
+        if (flags >= PresenceState.values().length) {
             return null;
         }
-        if (flags == State.PROBE_REPLY.ordinal() && b.hasRemaining() && b.get(b.position()) == probeReplyByte()) {
+        if (flags == PresenceState.PROBE_REPLY.ordinal() && b.hasRemaining() && b.get(b.position()) == probeReplyByte()) {
             b.get();
             return new LeaseCapable();
         }
-        return new Presence(State.values()[flags]);
+        return new PresenceNotice(PresenceState.values()[flags]);
     }
 
     private static Item readLeaseItem(int flags, ByteBuffer b) {
@@ -370,9 +371,9 @@
         return new DemandHint(readCustomer(head, b), head >>> 1, readFullness(b), readDemand(b));
     }
 
-    private static Named readKey(ByteBuffer b) {
+    private static CustomerKey readKey(ByteBuffer b) {
         int head = b.get() & UINT8_MASK;
-        return new Named(readCustomer(head, b), head >>> 1, b.getShort() & UINT16_MASK, b.getShort() & UINT16_MASK);
+        return new CustomerKey(readCustomer(head, b), head >>> 1, b.getShort() & UINT16_MASK, b.getShort() & UINT16_MASK);
     }
 
     private static double readAmount(ByteBuffer b) {
--- a/gateway/src/test/java/marlford/gateway/HundredGatewaysTest.java
+++ b/gateway/src/test/java/marlford/gateway/HundredGatewaysTest.java
@@ -22,21 +22,21 @@
     }
 
     private Stream<QuotaMessage.Item> sentItems() {
-        return gateway.peerMessages.stream().flatMap(t -> QuotaMessage.read(t.data()).items().stream());
+        return gateway.peerMessages.stream().flatMap(t -> QuotaMessage.decode(t.data()).items().stream());
     }
 
-    private QuotaMessage.Ask sentQuery(int index) {
-        return sentItems().filter(i -> i instanceof QuotaMessage.Ask).map(i -> (QuotaMessage.Ask) i).toList().get(index);
+    private QuotaMessage.Query sentQuery(int index) {
+        return sentItems().filter(i -> i instanceof QuotaMessage.Query).map(i -> (QuotaMessage.Query) i).toList().get(index);
     }
 
     /** Replies to that gateway's latest message, a query, as the ledger replica that it was sent to. */
-    private static QuotaMessage.Ask reply(FakeGateway querying, QuotaMessage.Verdict verdict, int count) {
+    private static QuotaMessage.Query reply(FakeGateway querying, QuotaMessage.Verdict verdict, int count) {
         FakeGateway.PeerMessage last = querying.peerMessages.get(querying.peerMessages.size() - 1);
-        QuotaMessage message = QuotaMessage.read(last.data());
-        QuotaMessage.Ask ask = assertInstanceOf(QuotaMessage.Ask.class, message.items().get(0));
-        QuotaMessage.Answer answer = new QuotaMessage.Answer(ask.serial(), verdict, 0.2, 3, false);
+        QuotaMessage message = QuotaMessage.decode(last.data());
+        QuotaMessage.Query ask = assertInstanceOf(QuotaMessage.Query.class, message.items().get(0));
+        QuotaMessage.Reply answer = new QuotaMessage.Reply(ask.serial(), verdict, 0.2, 3, false);
         querying.engine.onPeerMessage(querying.now, last.peer(),
-                new QuotaMessage(500, message.life() & 0xffff, count, List.of(answer)).bytes());
+                new QuotaMessage(500, message.incarnation() & 0xffff, count, List.of(answer)).encode());
         return ask;
     }
 
@@ -53,7 +53,7 @@
     @Test
     void refusalOfAReplicaAppliesToTheNextRequestWithoutAnotherQuery() {
         request("r", "small", 7);
-        reply(gateway, QuotaMessage.Verdict.STORE, 1);
+        reply(gateway, QuotaMessage.Verdict.QUOTA_EXHAUSTED, 1);
         assertEquals(List.of("r"), gateway.refused);
         int messages = gateway.peerMessages.size();
         gateway.request("s", "read", "small", 7, 4, GATEWAYS);
@@ -72,7 +72,7 @@
         assertEquals(0, gateway.finalAnswers("r"));
         gateway.endAttempt("r", 0, EngineApi.Outcome.OK, 20);
         gateway.advance(1000);
-        assertTrue(sentItems().anyMatch(i -> i instanceof QuotaMessage.Presence), "unresponsive replicas are probed");
+        assertTrue(sentItems().anyMatch(i -> i instanceof QuotaMessage.PresenceNotice), "unresponsive replicas are probed");
     }
 
     /** Ceiling units are valid for 400 ms: if no host is available by then the request is refused and its units are returned. */
@@ -80,13 +80,13 @@
     void expiredCeilingUnitsAreReturned() {
         FakeGateway withoutHosts = new FakeGateway(1000, FakeGateway.settings(0, GATEWAYS));
         withoutHosts.request("r", "read", "capped", 7, 2, GATEWAYS);
-        QuotaMessage.Ask ask = reply(withoutHosts, QuotaMessage.Verdict.GRANTED, 1);
+        QuotaMessage.Query ask = reply(withoutHosts, QuotaMessage.Verdict.GRANTED, 1);
         withoutHosts.advance(300);
         assertEquals(0, withoutHosts.finalAnswers("r"));
         withoutHosts.advance(140);
         assertEquals(List.of("r"), withoutHosts.refused);
         assertTrue(withoutHosts.peerMessages.stream().anyMatch(
-                t -> QuotaMessage.read(t.data()).items().contains(new QuotaMessage.Back(ask.serial()))));
+                t -> QuotaMessage.decode(t.data()).items().contains(new QuotaMessage.UnitsReturned(ask.serial()))));
     }
 
     @Test
@@ -96,9 +96,9 @@
         }
         gateway.peerMessages.clear();
         gateway.engine.onShutdown(gateway.now);
-        long ledgers = sentItems().filter(i -> i instanceof QuotaMessage.Sync).count();
+        long ledgers = sentItems().filter(i -> i instanceof QuotaMessage.LedgerSync).count();
         assertTrue(ledgers >= 1, ledgers + " ledgers passed on");
-        long farewells = sentItems().filter(i -> i.equals(new QuotaMessage.Presence(QuotaMessage.State.LEAVES))).count();
+        long farewells = sentItems().filter(i -> i.equals(new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.LEAVING))).count();
         assertEquals(6, farewells, "the farewell goes to the gateways that may stand in for this one");
     }
 
@@ -122,7 +122,7 @@
         gateway.engine.onClientLeft(gateway.now, "r");
         reply(gateway, QuotaMessage.Verdict.GRANTED, 1);
         assertEquals(List.of(), gateway.sent);
-        assertTrue(sentItems().anyMatch(i -> i instanceof QuotaMessage.Back));
+        assertTrue(sentItems().anyMatch(i -> i instanceof QuotaMessage.UnitsReturned));
     }
 
     /**
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseCoursesTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseSafetySimulationTest.java
@@ -12,7 +12,7 @@
  * Checks the proofs in {@link LeaseLedger} and {@link CeilingShare} by simulation: random courses of messages, losses and
  * restarts.
  */
-class LeaseCoursesTest {
+class LeaseSafetySimulationTest {
     private static final int CEILING_COURSES = Integer.getInteger("lease.courses", 100_000); // 1,000,000 in manual runs
     private static final int QUOTA_COURSES = 30_000;
     private static final int FAULT_COURSES = 100_000;
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseSimulation.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseSimulation.java
@@ -11,7 +11,7 @@
  * keeps its ledger for the return.
  */
 final class LeaseSimulation {
-    private static final QuotaMessage.Named KEY = new QuotaMessage.Named(7, 0, 0, 4);
+    private static final QuotaMessage.CustomerKey KEY = new QuotaMessage.CustomerKey(7, 0, 0, 4);
     private static final CeilingShare.FillMode FILLING = new CeilingShare.FillMode(true, 1);
     private static final int STEPS_PER_COURSE = 20;
     private static final int HOLDER_COUNT = 2;
@@ -39,7 +39,7 @@
         CeilingShare share; // for a ceiling
         QuotaLedger ledger; // for a quota
         double syncedAt = Double.NEGATIVE_INFINITY;
-        QuotaMessage.Sync lastSync;
+        QuotaMessage.LedgerSync lastSync;
         double unsyncedUnits; // units granted since the standby replica was last sent the ledger
     }
 
@@ -104,7 +104,7 @@
             o.ledger = new QuotaLedger(KEY, new LedgerPlacement(new int[] {0}, new int[0]), terms, null, now);
             if (o.lastSync != null) {
                 double filled = o.lastSync.fullness() + (now - o.syncedAt) / 1000 * terms.rate() / terms.burst();
-                o.ledger.applySync(now, new QuotaMessage.Sync(KEY, Math.min(1, filled), 0), true, FILLING);
+                o.ledger.applySync(now, new QuotaMessage.LedgerSync(KEY, Math.min(1, filled), 0), true, FILLING);
             }
         } else {
             double since = o.since - (fault == Fault.FORMER_INCARNATION_FORGOTTEN ? LeaseLedger.OWNER_TERM_MS : 0);
@@ -286,7 +286,7 @@
         if (isQuota && isUp(owners[0]) && now - owners[0].syncedAt >= SYNC_INTERVAL_MS) {
             Owner o = owners[0];
             o.ledger.advanceTo(now, FILLING);
-            o.lastSync = new QuotaMessage.Sync(KEY, o.ledger.fullness(), 0);
+            o.lastSync = new QuotaMessage.LedgerSync(KEY, o.ledger.fullness(), 0);
             o.syncedAt = now;
             o.unsyncedUnits = 0;
         }
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseTest.java
@@ -9,7 +9,7 @@
 
 /** Each of the two sides of one lease by itself. */
 class LeaseTest {
-    private static final QuotaMessage.Named KEY = new QuotaMessage.Named(1, 0, 0, 3);
+    private static final QuotaMessage.CustomerKey KEY = new QuotaMessage.CustomerKey(1, 0, 0, 3);
     private static final CeilingShare.FillMode FILLING = new CeilingShare.FillMode(true, 1);
     private static final int PEER = 4;
     private static final int INCARNATION = 77;
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseTierTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseTierSimulationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Leases in whole tiers in virtual time: their benefit, and their safety through failures. */
-class LeaseTierTest {
+class LeaseTierSimulationTest {
     private static final long SEED = 35;
     private static final int GATEWAYS = 40;
     private static final int SET_SIZE = 3;
--- a/gateway/src/test/java/marlford/gateway/quota/PeerIncarnationTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/PeerIncarnationTest.java
@@ -16,16 +16,16 @@
 
     private static PeerIncarnation knownIncarnation() {
         PeerIncarnation incarnation = new PeerIncarnation();
-        assertTrue(incarnation.hears(NOW, FIRST_INCARNATION));
+        assertTrue(incarnation.accept(NOW, FIRST_INCARNATION));
         return incarnation;
     }
 
     @Test
     void laterIncarnationBeginsAtOnceAndEndsTheFormer() {
         PeerIncarnation incarnation = knownIncarnation();
-        assertTrue(incarnation.hears(NOW + 1, FIRST_INCARNATION + 2000));
-        assertFalse(incarnation.hears(NOW + 2, FIRST_INCARNATION)); // overtaken on the way
-        assertFalse(incarnation.hears(NOW + 5000, FIRST_INCARNATION));
+        assertTrue(incarnation.accept(NOW + 1, FIRST_INCARNATION + 2000));
+        assertFalse(incarnation.accept(NOW + 2, FIRST_INCARNATION)); // overtaken on the way
+        assertFalse(incarnation.accept(NOW + 5000, FIRST_INCARNATION));
         assertEquals(FIRST_INCARNATION + 2000, incarnation.number());
     }
 
@@ -35,20 +35,20 @@
     void incarnationWithWrongNumberIsAcceptedAfterASecond(int offsetMs) {
         PeerIncarnation incarnation = knownIncarnation();
         double at = NOW;
-        while (!incarnation.hears(at, FIRST_INCARNATION + offsetMs)) {
+        while (!incarnation.accept(at, FIRST_INCARNATION + offsetMs)) {
             assertTrue(at < NOW + PeerIncarnation.CONFIRM_MS + STEP_MS, "the incarnation was not accepted in time");
             at += STEP_MS;
         }
         assertTrue(at >= NOW + PeerIncarnation.CONFIRM_MS);
-        assertFalse(incarnation.hears(at, FIRST_INCARNATION));
+        assertFalse(incarnation.accept(at, FIRST_INCARNATION));
     }
 
     @Test
     void strayMessageBeginsNoIncarnationWhileThePresentOneSends() {
         PeerIncarnation incarnation = knownIncarnation();
         for (double at = NOW; at < NOW + 20 * PeerIncarnation.CONFIRM_MS; at += STEP_MS) {
-            assertFalse(incarnation.hears(at, FIRST_INCARNATION - 1000));
-            assertTrue(incarnation.hears(at + 1, FIRST_INCARNATION));
+            assertFalse(incarnation.accept(at, FIRST_INCARNATION - 1000));
+            assertTrue(incarnation.accept(at + 1, FIRST_INCARNATION));
         }
     }
 
@@ -56,7 +56,7 @@
     void numbersWrapAround() {
         PeerIncarnation incarnation = new PeerIncarnation();
         double late = Integer.MAX_VALUE - 10.0;
-        assertTrue(incarnation.hears(late, Integer.MAX_VALUE - 1000));
-        assertTrue(incarnation.hears(late + 5000, Integer.MIN_VALUE + 100));
+        assertTrue(incarnation.accept(late, Integer.MAX_VALUE - 1000));
+        assertTrue(incarnation.accept(late + 5000, Integer.MIN_VALUE + 100));
     }
 }
--- a/gateway/src/test/java/marlford/gateway/quota/PartsOfQuotaTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/QuotaComponentsTest.java
@@ -14,47 +14,48 @@
 import org.junit.jupiter.api.Test;
 
 /** Messages, ledger placement and ceiling shares, each by itself. */
-class PartsOfQuotaTest {
+class QuotaComponentsTest {
     private static final CeilingShare.FillMode FILLING = new CeilingShare.FillMode(true, 1);
-    private static final QuotaMessage.Named KEY = new QuotaMessage.Named(0x1_ffff_fffeL, 1, 99, 60);
+    private static final QuotaMessage.CustomerKey KEY = new QuotaMessage.CustomerKey(0x1_ffff_fffeL, 1, 99, 60);
 
     private static QuotaMessage messageWithAllItems() {
-        return new QuotaMessage(123_456, 0xfedc, 65_535, List.of(new QuotaMessage.Ask(65_535, KEY, 3.25, 7, QuotaMessage.UnitScope.QUOTA),
-                new QuotaMessage.Answer(1, QuotaMessage.Verdict.CEILING_EXHAUSTED, -0.25, 16, true), new QuotaMessage.Back(0),
+        return new QuotaMessage(123_456, 0xfedc, 65_535, List.of(new QuotaMessage.Query(65_535, KEY, 3.25, 7, QuotaMessage.UnitScope.QUOTA),
+                new QuotaMessage.Reply(1, QuotaMessage.Verdict.CEILING_EXHAUSTED, -0.25, 16, true), new QuotaMessage.UnitsReturned(0),
                 new QuotaMessage.UnitsSpent(7, KEY, 63.75),
-                new QuotaMessage.Sync(KEY, 0.5, 4), new QuotaMessage.DemandHint(0x1_ffff_fffdL, 1, 0, 25), new QuotaMessage.LeaseCapable(),
+                new QuotaMessage.LedgerSync(KEY, 0.5, 4), new QuotaMessage.DemandHint(0x1_ffff_fffdL, 1, 0, 25),
+                new QuotaMessage.LeaseCapable(),
                 new QuotaMessage.LeaseRequest(9, KEY, QuotaMessage.UnitScope.CEILING, 12.25, 63.75, 0.5),
                 new QuotaMessage.LeaseGrant(65_535, 7.75, 0.5, 4),
-                new QuotaMessage.Presence(QuotaMessage.State.LEAVES)));
+                new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.LEAVING)));
     }
 
     @Test
     void messageIsDecodedAsItWasEncoded() {
-        assertEquals(messageWithAllItems(), QuotaMessage.read(messageWithAllItems().bytes()));
+        assertEquals(messageWithAllItems(), QuotaMessage.decode(messageWithAllItems().encode()));
     }
 
     /** Bytes that are too short or too long, or have any bit flipped, are not decoded as a message. */
     @Test
     void damagedBytesAreNotDecoded() {
-        byte[] good = messageWithAllItems().bytes();
+        byte[] good = messageWithAllItems().encode();
         for (int length = 0; length < good.length; length++) {
-            assertNull(QuotaMessage.read(Arrays.copyOf(good, length)), length + " bytes");
+            assertNull(QuotaMessage.decode(Arrays.copyOf(good, length)), length + " bytes");
         }
-        assertNull(QuotaMessage.read(Arrays.copyOf(good, good.length + 1)));
+        assertNull(QuotaMessage.decode(Arrays.copyOf(good, good.length + 1)));
         for (int bit = 0; bit < 8 * good.length; bit++) {
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(QuotaMessage.read(bad), "bit " + bit);
+            assertNull(QuotaMessage.decode(bad), "bit " + bit);
         }
     }
 
     /** Earlier versions decode the declaration of lease support as items that they ignore. */
     @Test
     void leaseCapabilityIsEncodedAsTwoProbeReplies() {
-        QuotaMessage.Item probeReply = new QuotaMessage.Presence(QuotaMessage.State.PROBE_REPLY);
-        byte[] capable = new QuotaMessage(1, 2, 3, List.of(new QuotaMessage.LeaseCapable())).bytes();
-        assertArrayEquals(new QuotaMessage(1, 2, 3, List.of(probeReply, probeReply)).bytes(), capable);
-        assertEquals(List.of(probeReply), QuotaMessage.read(new QuotaMessage(1, 2, 3, List.of(probeReply)).bytes()).items());
+        QuotaMessage.Item probeReply = new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.PROBE_REPLY);
+        byte[] capable = new QuotaMessage(1, 2, 3, List.of(new QuotaMessage.LeaseCapable())).encode();
+        assertArrayEquals(new QuotaMessage(1, 2, 3, List.of(probeReply, probeReply)).encode(), capable);
+        assertEquals(List.of(probeReply), QuotaMessage.decode(new QuotaMessage(1, 2, 3, List.of(probeReply)).encode()).items());
     }
 
     /** Rounding never reports held units as fewer than they are, nor returned units as more. */
@@ -64,7 +65,7 @@
             double units = i / 10.0;
             QuotaMessage.LeaseRequest sent = new QuotaMessage.LeaseRequest(1, KEY, QuotaMessage.UnitScope.QUOTA, 1, units, units);
             QuotaMessage.LeaseRequest read =
-                    (QuotaMessage.LeaseRequest) QuotaMessage.read(new QuotaMessage(1, 2, 3, List.of(sent)).bytes()).items().get(0);
+                    (QuotaMessage.LeaseRequest) QuotaMessage.decode(new QuotaMessage(1, 2, 3, List.of(sent)).encode()).items().get(0);
             assertTrue(read.held() >= units && read.returned() <= units, units + " decoded as " + read);
         }
     }
@@ -75,8 +76,8 @@
         for (int i = 0; i <= 1000; i++) {
             double fullness = i / 1000.0;
             QuotaMessage message = new QuotaMessage(1, 0, 1,
-                    List.of(new QuotaMessage.Answer(1, QuotaMessage.Verdict.STORE, fullness, 0, false)));
-            double reported = ((QuotaMessage.Answer) QuotaMessage.read(message.bytes()).items().get(0)).fullness();
+                    List.of(new QuotaMessage.Reply(1, QuotaMessage.Verdict.QUOTA_EXHAUSTED, fullness, 0, false)));
+            double reported = ((QuotaMessage.Reply) QuotaMessage.decode(message.encode()).items().get(0)).fullness();
             assertTrue(reported <= fullness + 1e-5 && reported > fullness - 0.0051, fullness + " encoded as " + reported);
         }
     }
@@ -87,7 +88,8 @@
         Random random = new Random(7);
         for (int i = 0; i < 5000; i++) {
             int gateways = 1 + random.nextInt(500);
-            QuotaMessage.Named key = new QuotaMessage.Named(random.nextInt(), 0, random.nextInt(gateways), 1 + random.nextInt(gateways));
+            QuotaMessage.CustomerKey key = new QuotaMessage.CustomerKey(random.nextInt(), 0,
+                    random.nextInt(gateways), 1 + random.nextInt(gateways));
             LedgerPlacement placement = LedgerPlacement.of(key, gateways, SimulatedTier.CAPPED, 8);
             int[] members = IntStream.concat(IntStream.of(placement.replicas()), IntStream.of(placement.shareHolders())).toArray();
             assertTrue(IntStream.of(members).allMatch(gateway -> key.holds(gateway, gateways)), key + " " + Arrays.toString(members));
@@ -104,7 +106,7 @@
     void failureOfNeighboursLeavesAReplica() {
         for (int customer = 0; customer < 2000; customer++) {
             LedgerPlacement placement = LedgerPlacement.of(
-                    new QuotaMessage.Named(customer, 0, customer % 100, 50 + customer % 51), 100, SimulatedTier.BASIC, 8);
+                    new QuotaMessage.CustomerKey(customer, 0, customer % 100, 50 + customer % 51), 100, SimulatedTier.BASIC, 8);
             for (int from = 0; from < 100; from++) {
                 int failedFrom = from;
                 assertTrue(IntStream.of(placement.replicas()).anyMatch(gateway -> Math.floorMod(gateway - failedFrom, 100) >= 10));
--- a/gateway/src/test/java/marlford/gateway/quota/QuotaCoordinatorTest.java
+++ b/gateway/src/test/java/marlford/gateway/quota/QuotaCoordinatorTest.java
@@ -145,14 +145,14 @@
             List<QuotaCoordinator.Decision> decided) {
         QuotaCoordinator.Config config = new QuotaCoordinator.Config(
                 self, gateways, 40, SimulatedTier.MAX_REQUEST_UNITS, 1000, List.of(SimulatedTier.BASIC, SimulatedTier.CAPPED));
-        return new QuotaCoordinator(NOW, config, (int) NOW, new Random(SEED), new QuotaCoordinator.Link() {
+        return new QuotaCoordinator(NOW, config, (int) NOW, new Random(SEED), new QuotaCoordinator.Callbacks() {
             @Override
-            public void tell(int peer, byte[] data) {
-                sent.add(QuotaMessage.read(data));
+            public void sendToPeer(int peer, byte[] data) {
+                sent.add(QuotaMessage.decode(data));
             }
 
             @Override
-            public void decided(double now, String id, QuotaCoordinator.Decision decision) {
+            public void onDecision(double now, String id, QuotaCoordinator.Decision decision) {
                 decided.add(decision);
             }
         });
@@ -163,9 +163,9 @@
     }
 
     /** Returns a customer whose primary replica is that gateway of a hundred. */
-    private static QuotaMessage.Named customerWithPrimary(int gateway) {
+    private static QuotaMessage.CustomerKey customerWithPrimary(int gateway) {
         for (int customer = 1;; customer++) {
-            QuotaMessage.Named key = new QuotaMessage.Named(customer, 0, 0, 100);
+            QuotaMessage.CustomerKey key = new QuotaMessage.CustomerKey(customer, 0, 0, 100);
             if (LedgerPlacement.of(key, 100, SimulatedTier.BASIC, 8).replicas()[0] == gateway) {
                 return key;
             }
@@ -180,19 +180,19 @@
     void replayedOrImpossibleMessageTakesNothing() {
         List<QuotaMessage> sent = new ArrayList<>();
         QuotaCoordinator coordinator = singleCoordinator(5, 100, sent, new ArrayList<>());
-        QuotaMessage.Named key = customerWithPrimary(5);
-        QuotaMessage query = from(500, 1, new QuotaMessage.Ask(9, key, 3, 0, QuotaMessage.UnitScope.BOTH));
-        coordinator.heard(NOW, 7, query);
-        coordinator.heard(NOW, 7, query);
-        coordinator.heard(NOW, 7, from(499, 2, new QuotaMessage.Ask(10, key, 3, 0, QuotaMessage.UnitScope.BOTH)));
-        coordinator.heard(NOW, 7, from((int) NOW + 100_000, 3, new QuotaMessage.Ask(11, key, 3, 0, QuotaMessage.UnitScope.BOTH)));
-        coordinator.heard(NOW, 7, from(500, 4,
-                new QuotaMessage.Ask(12, new QuotaMessage.Named(3, 0, 90, 5), 3, 0, QuotaMessage.UnitScope.BOTH)));
-        coordinator.heard(NOW, 7, from(500, 5,
-                new QuotaMessage.Ask(13, new QuotaMessage.Named(4, 99, 0, 100), 3, 0, QuotaMessage.UnitScope.BOTH)));
-        List<QuotaMessage.Answer> answers = sent.stream()
-                .flatMap(message -> message.items().stream()).map(i -> (QuotaMessage.Answer) i).toList();
-        assertEquals(List.of(9, 9, 12, 13), answers.stream().map(QuotaMessage.Answer::serial).toList());
+        QuotaMessage.CustomerKey key = customerWithPrimary(5);
+        QuotaMessage query = from(500, 1, new QuotaMessage.Query(9, key, 3, 0, QuotaMessage.UnitScope.BOTH));
+        coordinator.onMessage(NOW, 7, query);
+        coordinator.onMessage(NOW, 7, query);
+        coordinator.onMessage(NOW, 7, from(499, 2, new QuotaMessage.Query(10, key, 3, 0, QuotaMessage.UnitScope.BOTH)));
+        coordinator.onMessage(NOW, 7, from((int) NOW + 100_000, 3, new QuotaMessage.Query(11, key, 3, 0, QuotaMessage.UnitScope.BOTH)));
+        coordinator.onMessage(NOW, 7, from(500, 4,
+                new QuotaMessage.Query(12, new QuotaMessage.CustomerKey(3, 0, 90, 5), 3, 0, QuotaMessage.UnitScope.BOTH)));
+        coordinator.onMessage(NOW, 7, from(500, 5,
+                new QuotaMessage.Query(13, new QuotaMessage.CustomerKey(4, 99, 0, 100), 3, 0, QuotaMessage.UnitScope.BOTH)));
+        List<QuotaMessage.Reply> answers = sent.stream()
+                .flatMap(message -> message.items().stream()).map(i -> (QuotaMessage.Reply) i).toList();
+        assertEquals(List.of(9, 9, 12, 13), answers.stream().map(QuotaMessage.Reply::serial).toList());
         assertEquals(4 / 7.0, answers.get(1).fullness(), 0.006, "three of seven units were taken once");
         assertEquals(QuotaMessage.Verdict.CANNOT_DECIDE, answers.get(2).verdict());
         assertEquals(QuotaMessage.Verdict.CANNOT_DECIDE, answers.get(3).verdict());
@@ -204,11 +204,11 @@
         List<QuotaMessage> sent = new ArrayList<>();
         List<QuotaCoordinator.Decision> decided = new ArrayList<>();
         QuotaCoordinator coordinator = singleCoordinator(5, 100, sent, decided);
-        coordinator.want(NOW, "r", customerWithPrimary(9), 2, NOW + 900);
-        QuotaMessage.Ask ask = (QuotaMessage.Ask) sent.get(0).items().get(0);
-        coordinator.gone("r");
-        coordinator.heard(NOW + 5, 9, from(500, 1, new QuotaMessage.Answer(ask.serial(), QuotaMessage.Verdict.GRANTED, 0.5, 1, false)));
-        assertEquals(new QuotaMessage.Back(ask.serial()), sent.get(1).items().get(0));
+        coordinator.requestAdmission(NOW, "r", customerWithPrimary(9), 2, NOW + 900);
+        QuotaMessage.Query ask = (QuotaMessage.Query) sent.get(0).items().get(0);
+        coordinator.abandonRequest("r");
+        coordinator.onMessage(NOW + 5, 9, from(500, 1, new QuotaMessage.Reply(ask.serial(), QuotaMessage.Verdict.GRANTED, 0.5, 1, false)));
+        assertEquals(new QuotaMessage.UnitsReturned(ask.serial()), sent.get(1).items().get(0));
         assertEquals(List.of(), decided);
     }
 
@@ -247,9 +247,9 @@
         List<QuotaCoordinator.Decision> decided = new ArrayList<>();
         QuotaCoordinator coordinator = singleCoordinator(5, 100, sent, decided);
         for (int customer = 1; customer <= 100_000; customer++) {
-            coordinator.want(NOW, "r" + customer, new QuotaMessage.Named(customer, 0, 0, 100), 1, NOW + 900);
+            coordinator.requestAdmission(NOW, "r" + customer, new QuotaMessage.CustomerKey(customer, 0, 0, 100), 1, NOW + 900);
         }
-        assertTrue(decided.stream().filter(d -> !d.in()).count() >= 99_000, decided.size() + " decided");
+        assertTrue(decided.stream().filter(d -> !d.admitted()).count() >= 99_000, decided.size() + " decided");
         assertTrue(sent.size() <= 16, sent.size() + " messages sent");
     }
 
@@ -258,15 +258,15 @@
     void shareNextToOlderVersionIsAtMostItsEvenPart() {
         List<QuotaCoordinator.Decision> decided = new ArrayList<>();
         QuotaCoordinator coordinator = singleCoordinator(0, 100, new ArrayList<>(), decided);
-        coordinator.heard(NOW, 3, null);
-        QuotaMessage.Named setOfFive = new QuotaMessage.Named(1, 1, 0, 5);
+        coordinator.onMessage(NOW, 3, null);
+        QuotaMessage.CustomerKey setOfFive = new QuotaMessage.CustomerKey(1, 1, 0, 5);
         double admittedUnits = 0;
         // no peer answers for a minute, so the degraded-mode estimate decides and the gateway's own share bounds it
         for (int i = 0; i < 20; i++) {
             double now = NOW + 10_000 + 20 * i;
             int decidedBefore = decided.size();
-            coordinator.want(now, "r" + i, setOfFive, 1, now + 10);
-            admittedUnits += decided.get(decidedBefore).in() ? 1 : 0;
+            coordinator.requestAdmission(now, "r" + i, setOfFive, 1, now + 10);
+            admittedUnits += decided.get(decidedBefore).admitted() ? 1 : 0;
         }
         assertTrue(admittedUnits <= 57 * 0.5 / 5 + 35 * 0.5 / 5 * 0.4 && admittedUnits >= 4, admittedUnits + " units admitted");
     }
--- a/gateway/src/test/java/marlford/gateway/quota/SimulatedTier.java
+++ b/gateway/src/test/java/marlford/gateway/quota/SimulatedTier.java
@@ -41,7 +41,7 @@
 
     /** One customer with the true state of its buckets. */
     static final class Customer {
-        final QuotaMessage.Named key;
+        final QuotaMessage.CustomerKey key;
         final QuotaTerms terms;
         double unitsPerSecond;
         double quotaLevel;
@@ -51,7 +51,7 @@
         double sent;
         double allowed; // Units that entered the quota bucket, including its initial contents.
 
-        Customer(QuotaMessage.Named key, QuotaTerms terms, double now) {
+        Customer(QuotaMessage.CustomerKey key, QuotaTerms terms, double now) {
             this.key = key;
             this.terms = terms;
             quotaLevel = allowed = terms.burst();
@@ -95,7 +95,7 @@
     long bytesSent;
     double unitsBeyondQuota;
     double sent;
-    final Map<QuotaCoordinator.Why, Integer> refusalsByReason = new EnumMap<>(QuotaCoordinator.Why.class);
+    final Map<QuotaCoordinator.Reason, Integer> refusalsByReason = new EnumMap<>(QuotaCoordinator.Reason.class);
     final DelayedViewPolicy late = new DelayedViewPolicy();
     private ToIntFunction<Customer> pinnedPosition = customer -> -1;
 
@@ -115,7 +115,7 @@
     Customer addCustomer(QuotaTerms terms, int spread, double unitsPerSecond) {
         int plan = PLANS.indexOf(terms);
         int first = random.nextInt(gateways.length);
-        Customer customer = new Customer(new QuotaMessage.Named(customers.size() + 1, plan, first, spread), terms, now);
+        Customer customer = new Customer(new QuotaMessage.CustomerKey(customers.size() + 1, plan, first, spread), terms, now);
         customer.unitsPerSecond = unitsPerSecond;
         customers.add(customer);
         return customer;
@@ -124,9 +124,9 @@
     private void start(int i) {
         QuotaCoordinator.Config config = new QuotaCoordinator.Config(
                 i, gateways.length, MESSAGES_ACCEPTED_PER_S, MAX_REQUEST_UNITS, 20_000, PLANS);
-        gateways[i] = new QuotaCoordinator(now, config, (int) (long) now, new Random(random.nextLong()), new QuotaCoordinator.Link() {
+        gateways[i] = new QuotaCoordinator(now, config, (int) (long) now, new Random(random.nextLong()), new QuotaCoordinator.Callbacks() {
             @Override
-            public void tell(int peer, byte[] data) {
+            public void sendToPeer(int peer, byte[] data) {
                 for (int to = 0; to < gateways.length; to++) {
                     if (to != i && (peer < 0 || peer == to)) {
                         post(i, to, data);
@@ -135,7 +135,7 @@
             }
 
             @Override
-            public void decided(double at, String id, QuotaCoordinator.Decision decision) {
+            public void onDecision(double at, String id, QuotaCoordinator.Decision decision) {
                 settleDecision(id, decision);
             }
         });
@@ -151,7 +151,7 @@
 
     /** Announces the shutdown of a gateway; it takes no further requests, but keeps running until it is killed. */
     void leave(int gateway) {
-        gateways[gateway].leave(now);
+        gateways[gateway].prepareShutdown(now);
         shuttingDown.add(gateway);
     }
 
@@ -178,15 +178,15 @@
         List<QuotaMessage.Item> items = new ArrayList<>();
         for (QuotaMessage.Item item : message.items()) {
             if (item instanceof QuotaMessage.LeaseCapable) {
-                items.add(new QuotaMessage.Presence(QuotaMessage.State.PROBE_REPLY));
-                items.add(new QuotaMessage.Presence(QuotaMessage.State.PROBE_REPLY));
+                items.add(new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.PROBE_REPLY));
+                items.add(new QuotaMessage.PresenceNotice(QuotaMessage.PresenceState.PROBE_REPLY));
             } else if (isUnknownToOlderVersion(item)) {
                 throw new AssertionError("an older version cannot decode " + item);
             } else {
                 items.add(item);
             }
         }
-        return new QuotaMessage(message.life(), message.answeredIncarnation(), message.sequence(), items);
+        return new QuotaMessage(message.incarnation(), message.answeredIncarnation(), message.sequence(), items);
     }
 
     private static boolean isUnknownToOlderVersion(QuotaMessage.Item item) {
@@ -195,9 +195,9 @@
     }
 
     private static byte[] encodeAsOlderVersion(byte[] data) {
-        QuotaMessage message = QuotaMessage.read(data);
+        QuotaMessage message = QuotaMessage.decode(data);
         List<QuotaMessage.Item> items = message.items().stream().filter(i -> !(i instanceof QuotaMessage.LeaseCapable)).toList();
-        return new QuotaMessage(message.life(), message.answeredIncarnation(), message.sequence(), items).bytes();
+        return new QuotaMessage(message.incarnation(), message.answeredIncarnation(), message.sequence(), items).encode();
     }
 
     private void post(int from, int to, byte[] sentData) {
@@ -218,12 +218,12 @@
         if (request.leased()) {
             leasedDecisionTimesMs.add(now - request.at());
         }
-        if (decision.in()) {
+        if (decision.admitted()) {
             double sendDelayMs = random.nextInt(10) == 0 ? 400 * random.nextDouble() : 5 * random.nextDouble();
-            sentRequests.add(new SentRequest(Math.min(now + sendDelayMs, Math.max(now, decision.leaveBy())), order++,
+            sentRequests.add(new SentRequest(Math.min(now + sendDelayMs, Math.max(now, decision.sendBy())), order++,
                     request.customer(), request.units()));
         } else {
-            refusalsByReason.merge(decision.why(), 1, Integer::sum);
+            refusalsByReason.merge(decision.reason(), 1, Integer::sum);
             request.customer().advanceTo(now);
             refusedWithRoom += request.customer().quotaLevel >= request.customer().terms.burst() / 2 ? 1 : 0;
         }
@@ -277,7 +277,7 @@
         String id = "r" + requestCount++;
         boolean leased = gateways[gateway].holdsLease(now, customer.key.customer());
         openRequests.put(id, new OpenRequest(customer, gateway, units, now, leased));
-        gateways[gateway].want(now, id, customer.key, units, now + DEADLINE_MS);
+        gateways[gateway].requestAdmission(now, id, customer.key, units, now + DEADLINE_MS);
     }
 
     /** Advances the virtual time: delivers messages, runs ticks, sends requests and starts killed gateways again. */
@@ -298,7 +298,7 @@
                 tickedAt = now;
                 for (QuotaCoordinator g : gateways) {
                     if (g != null) {
-                        g.beat(now);
+                        g.tick(now);
                     }
                 }
             }
@@ -319,11 +319,11 @@
             return;
         }
         messageBudget[datagram.to()]--;
-        QuotaMessage message = QuotaMessage.read(datagram.data());
+        QuotaMessage message = QuotaMessage.decode(datagram.data());
         if (message == null) {
             throw new AssertionError("a message cannot be decoded");
         }
-        gateways[datagram.to()].heard(now, datagram.from(),
+        gateways[datagram.to()].onMessage(now, datagram.from(),
                 olderVersionGateways.contains(datagram.to()) ? decodeAsOlderVersion(message) : message);
     }
 
--- a/storm/src/main/java/marlford/storm/scale/Customer.java
+++ b/storm/src/main/java/marlford/storm/scale/Customer.java
@@ -9,7 +9,7 @@
     private static final double MS_PER_S = 1000;
 
     final int index;
-    final QuotaMessage.Named named;
+    final QuotaMessage.CustomerKey named;
     final QuotaTerms terms;
     private double unitsPerSecond;
     private double quota;
@@ -17,7 +17,7 @@
     private double refilledAt;
     private double lowestCeiling;
 
-    Customer(int index, QuotaMessage.Named named, QuotaTerms terms, double unitsPerSecond) {
+    Customer(int index, QuotaMessage.CustomerKey named, QuotaTerms terms, double unitsPerSecond) {
         this.index = index;
         this.named = named;
         this.terms = terms;
--- a/storm/src/main/java/marlford/storm/scale/HollowGateway.java
+++ b/storm/src/main/java/marlford/storm/scale/HollowGateway.java
@@ -55,14 +55,14 @@
         QuotaCoordinator.Config config = new QuotaCoordinator.Config(
                 number, gateways, intakePerSecond, Workload.MAX_UNITS, CUSTOMERS_MAX, plans);
         int life = (int) (long) now;
-        quotas = new QuotaCoordinator(now, config, life, new Random(seed), new QuotaCoordinator.Link() {
+        quotas = new QuotaCoordinator(now, config, life, new Random(seed), new QuotaCoordinator.Callbacks() {
             @Override
-            public void tell(int peer, byte[] data) {
+            public void sendToPeer(int peer, byte[] data) {
                 surroundings.send(number, peer, data);
             }
 
             @Override
-            public void decided(double at, String id, QuotaCoordinator.Decision decision) {
+            public void onDecision(double at, String id, QuotaCoordinator.Decision decision) {
                 Request request = open.remove(id);
                 if (request == null) {
                     throw new IllegalStateException("request " + id + " was decided twice, or never asked");
@@ -76,28 +76,28 @@
         String id = Long.toString(asked++, Character.MAX_RADIX);
         open.put(id, new Request(customer, units, now));
         customersSeen.set(customer.index);
-        timer.time(Part.DECISION, () -> quotas.want(now, id, customer.named, units, now + DEADLINE_MS));
+        timer.time(Part.DECISION, () -> quotas.requestAdmission(now, id, customer.named, units, now + DEADLINE_MS));
     }
 
     /** @throws IllegalStateException where a message of this version can't be read */
     void receive(double now, int from, byte[] data) {
         peersHeard.set(from);
         timer.time(Part.MESSAGES, () -> {
-            QuotaMessage message = QuotaMessage.read(data);
+            QuotaMessage message = QuotaMessage.decode(data);
             if (message == null) {
                 throw new IllegalStateException("gateway " + number + " can't read a message of gateway " + from);
             }
-            quotas.heard(now, from, message);
+            quotas.onMessage(now, from, message);
         });
     }
 
     void beat(double now) {
-        timer.time(Part.BEAT, () -> quotas.beat(now));
+        timer.time(Part.BEAT, () -> quotas.tick(now));
     }
 
     /** An orderly end is near. */
     void leave(double now) {
-        quotas.leave(now);
+        quotas.prepareShutdown(now);
     }
 
     /** Requests whose decision is out. */
@@ -116,7 +116,7 @@
     /** The quota code's own counters since they were last taken, by name. */
     Map<String, Long> takeCounters() {
         Map<String, Long> counters = new HashMap<>();
-        for (String pair : quotas.counts().trim().split("\\s+")) {
+        for (String pair : quotas.takeActivityCounts().trim().split("\\s+")) {
             int equals = pair.indexOf('=');
             if (equals > 0) {
                 counters.put(pair.substring(0, equals), (long) Double.parseDouble(pair.substring(equals + 1)));
--- a/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
+++ b/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
@@ -14,7 +14,7 @@
  * @param terms of its plan
  * @param unitsPerSecond that it asks for
  */
-record LoadedCustomer(QuotaMessage.Named named, QuotaTerms terms, double unitsPerSecond) {
+record LoadedCustomer(QuotaMessage.CustomerKey named, QuotaTerms terms, double unitsPerSecond) {
     /** The plans: a quota alone, a quota and a ceiling, a ceiling alone. */
     static final List<QuotaTerms> PLANS = List.of(Workload.MIDDLE, Workload.CAPPED, Workload.ONLY_CAPPED);
 
@@ -42,7 +42,7 @@
             double rate = terms.rate() > 0 ? terms.rate() : terms.ceilingRate();
             double demand = rate * demands.get(i / PLANS.size() % demands.size());
             int first = Math.min(i % sets * SPREAD, processes - SPREAD);
-            customers.add(new LoadedCustomer(new QuotaMessage.Named(i + 1L, plan, first, SPREAD), terms, demand));
+            customers.add(new LoadedCustomer(new QuotaMessage.CustomerKey(i + 1L, plan, first, SPREAD), terms, demand));
             sum += demand;
         }
         return customers;
@@ -71,21 +71,21 @@
         List<Integer> keepers = new ArrayList<>();
         QuotaCoordinator.Config config =
                 new QuotaCoordinator.Config(asker, gateways, mailPerSecond, Workload.MAX_UNITS, MOST, PLANS);
-        QuotaCoordinator quotas = new QuotaCoordinator(START_MS, config, 1, new Random(1), new QuotaCoordinator.Link() {
+        QuotaCoordinator quotas = new QuotaCoordinator(START_MS, config, 1, new Random(1), new QuotaCoordinator.Callbacks() {
             @Override
-            public void tell(int peer, byte[] data) {
-                if (QuotaMessage.read(data).items().stream().anyMatch(QuotaMessage.Ask.class::isInstance)) {
+            public void sendToPeer(int peer, byte[] data) {
+                if (QuotaMessage.decode(data).items().stream().anyMatch(QuotaMessage.Query.class::isInstance)) {
                     keepers.add(peer);
                 }
             }
 
             @Override
-            public void decided(double now, String id, QuotaCoordinator.Decision decision) {
+            public void onDecision(double now, String id, QuotaCoordinator.Decision decision) {
                 throw new IllegalStateException("decided outside the customer's set, without its keeper");
             }
         });
-        quotas.want(START_MS, "first", named, 1, START_MS + DEADLINE_MS);
-        quotas.beat(START_MS + BEAT_MS);
+        quotas.requestAdmission(START_MS, "first", named, 1, START_MS + DEADLINE_MS);
+        quotas.tick(START_MS + BEAT_MS);
         return keepers.get(0);
     }
 }
--- a/storm/src/main/java/marlford/storm/scale/LoadedFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/LoadedFleet.java
@@ -68,7 +68,7 @@
     /** The largest intake, up to the one that fleets are designed for, at which so many gateways lease. */
     static double mailPerSecond(int gateways) {
         int mail = ProcessSettings.MAIL_PER_S;
-        while (mail > 1 && !QuotaCoordinator.isFor(gateways, mail)) {
+        while (mail > 1 && !QuotaCoordinator.isRequiredFor(gateways, mail)) {
             mail--;
         }
         return mail;
--- a/storm/src/main/java/marlford/storm/scale/LoopFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/LoopFleet.java
@@ -240,7 +240,7 @@
         public void decided(
                 double now, int decider, HollowGateway.Request request, QuotaCoordinator.Decision decision) {
             waits.add(now - request.askedAt());
-            letIn += decision.in() ? 1 : 0;
+            letIn += decision.admitted() ? 1 : 0;
         }
 
         void clear() {
--- a/storm/src/main/java/marlford/storm/scale/VirtualFleet.java
+++ b/storm/src/main/java/marlford/storm/scale/VirtualFleet.java
@@ -248,14 +248,14 @@
         public void decided(
                 double now, int gateway, HollowGateway.Request request, QuotaCoordinator.Decision decision) {
             double waitMs = now - request.askedAt();
-            if (!decision.in()) {
+            if (!decision.admitted()) {
                 counts.refused(waitMs, request.customer().hasRoom(now));
                 return;
             }
             counts.letIn(waitMs);
             boolean held = hosts.nextInt(HELD_ONE_IN) == 0;
             double sentAt = now + hosts.nextDouble() * (held ? HELD_MS : SEND_MS);
-            events.at(Math.min(sentAt, decision.leaveBy()), () -> charge(request));
+            events.at(Math.min(sentAt, decision.sendBy()), () -> charge(request));
         }
     }
 
--- a/storm/src/test/java/marlford/storm/scale/LoadedFleetTest.java
+++ b/storm/src/test/java/marlford/storm/scale/LoadedFleetTest.java
@@ -34,8 +34,8 @@
     @Test
     void theIntakeIsOneAtWhichGatewaysLease() {
         assertEquals(6, LoadedFleet.mailPerSecond(PROCESSES));
-        assertTrue(QuotaCoordinator.isFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES)));
-        assertFalse(QuotaCoordinator.isFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES) + 1));
+        assertTrue(QuotaCoordinator.isRequiredFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES)));
+        assertFalse(QuotaCoordinator.isRequiredFor(PROCESSES, LoadedFleet.mailPerSecond(PROCESSES) + 1));
         assertEquals(ProcessSettings.MAIL_PER_S, LoadedFleet.mailPerSecond(GATEWAYS));
     }
 
