--- a/fleet/src/main/java/marlford/fleet/Fleet.java
+++ b/fleet/src/main/java/marlford/fleet/Fleet.java
@@ -115,7 +115,7 @@
 
     /** The gateway of this process serves. */
     void serving(ServingGateway gateway) {
-        if (config.probes() != null && gateway.mayProbe()) {
+        if (config.probes() != null && gateway.allowsProbes()) {
             run(() -> healthChecks = new HealthCheckWorker(config.probes(), gateway, member, this::run, log));
         }
     }
--- a/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
+++ b/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
@@ -45,13 +45,13 @@
     void due(Member member, double now, double lateMs) {
         if (now - lookedAt > LOOK_MS) {
             lookedAt = now;
-            gateway.listed(hosts -> thread.accept(() -> listed(hosts)));
+            gateway.listHosts(hosts -> thread.accept(() -> listed(hosts)));
         }
         prober.due(member, now, lateMs)
                 .forEach(p -> gateway.probe(
                         p.host(), (outcome, tookMs) -> thread.accept(() -> ended(member, p, outcome, tookMs))));
         for (ProbeResultFilter.Report r : results.read(member.board(), now)) {
-            gateway.evidence(r.host(), outcome(r.finding().kind()), r.finding().tookMs(), r.ageMs());
+            gateway.reportProbeResult(r.host(), outcome(r.finding().kind()), r.finding().tookMs(), r.ageMs());
             note(r);
         }
     }
--- a/fleet/src/main/java/marlford/fleet/SharedListPolling.java
+++ b/fleet/src/main/java/marlford/fleet/SharedListPolling.java
@@ -15,7 +15,7 @@
     private final Consumer<Runnable> thread;
     private final DoubleSupplier clock;
     private final SingleFlightPoll turns = new SingleFlightPoll();
-    private Consumer<Told> next; // who waits; on the member's thread
+    private Consumer<FetchedList> next; // who waits; on the member's thread
     private double calledAt;
 
     /** @param thread runs work on the member's thread, or not at all once the process ends */
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void due(String agent, Consumer<Told> to) {
+    public void requestTurn(String agent, Consumer<FetchedList> to) {
         thread.accept(() -> {
             next = to;
             turns.due(member, agent, clock.getAsDouble());
@@ -34,20 +34,20 @@
     }
 
     @Override
-    public void called(String agent, boolean answered, String whole) {
+    public void reportResult(String agent, boolean answered, String whole) {
         thread.accept(() -> turns.called(member, answered, whole, calledAt));
     }
 
     void due(double now, double lateMs) {
         SingleFlightPoll.Decision d = turns.decide(member, now, lateMs);
         if (d.step() != SingleFlightPoll.Step.WAIT && next != null) {
-            Consumer<Told> to = next;
+            Consumer<FetchedList> to = next;
             next = null;
             calledAt = now;
             to.accept(
                     d.step() == SingleFlightPoll.Step.CALL
                             ? null
-                            : new Told(d.list().value(), d.list().ageMs()));
+                            : new FetchedList(d.list().value(), d.list().ageMs()));
         }
     }
 
--- a/fleet/src/main/java/marlford/fleet/UsageExporter.java
+++ b/fleet/src/main/java/marlford/fleet/UsageExporter.java
@@ -98,7 +98,7 @@
             }
 
             @Override
-            public void look() {
+            public void onTick() {
                 table.look(wallClock.ms());
             }
         };
--- a/gateway/src/main/java/marlford/gateway/console/AdminCommands.java
+++ b/gateway/src/main/java/marlford/gateway/console/AdminCommands.java
@@ -3,10 +3,10 @@
 /** Commands of operators to a gateway. The methods do not block and may be called from any thread. */
 public interface AdminCommands {
     /** Returns whether clients are served: false until the listener is open, while quiesced, and once a shutdown was requested. */
-    boolean ready();
+    boolean isReady();
 
     /** Returns whether discovery lists this host. */
-    boolean knows(String host);
+    boolean isListedHost(String host);
 
     /** Sends all clients away until {@link #resume}; a second call has no effect. */
     void quiesce();
@@ -15,5 +15,5 @@
     void resume();
 
     /** The set of excluded hosts has changed. */
-    void leftOutChanged();
+    void excludedHostsChanged();
 }
--- a/gateway/src/main/java/marlford/gateway/console/Console.java
+++ b/gateway/src/main/java/marlford/gateway/console/Console.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns the hosts that operators have excluded. May be called from any thread. */
-    public Set<String> leftOut() {
+    public Set<String> excludedHosts() {
         return currentHosts;
     }
 
@@ -130,7 +130,7 @@
     private void onExclusionChanged(String reason) {
         currentHosts = excludedHosts.hosts();
         log.accept("console: excluded hosts: " + currentHosts + ", " + reason);
-        commands.leftOutChanged();
+        commands.excludedHostsChanged();
     }
 
     /** Handles one connection. */
@@ -172,7 +172,7 @@
                     status = HttpResponseStatus.OK;
                     text = metrics.text();
                 } else if (isGet && request.uri().equals("/admin/health")) {
-                    status = commands.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+                    status = commands.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
                 } else if (isGet && pages.containsKey(request.uri())) {
                     status = HttpResponseStatus.OK;
                     text = pages.get(request.uri()).get();
@@ -234,6 +234,6 @@
     }
 
     private boolean isKnownHost(String host) {
-        return !host.isEmpty() && (commands.knows(host) || currentHosts.contains(host));
+        return !host.isEmpty() && (commands.isListedHost(host) || currentHosts.contains(host));
     }
 }
--- a/gateway/src/main/java/marlford/gateway/console/ServiceMetrics.java
+++ b/gateway/src/main/java/marlford/gateway/console/ServiceMetrics.java
@@ -28,18 +28,18 @@
         this.resultCounts = new AtomicLongArray(classes.size() * RESULT_COUNT);
     }
 
-    /** A request was accepted; it counts as current until it is {@link #closed}. */
-    public void taken() {
+    /** A request was accepted; it counts as current until it is {@link #requestClosed}. */
+    public void requestAccepted() {
         add(Plain.CURRENT, 1);
     }
 
     /** An accepted request needs no response any more: it was answered, or its client has disconnected. */
-    public void closed() {
+    public void requestClosed() {
         add(Plain.CURRENT, -1);
     }
 
     /** A request got its final response. Unknown classes are not counted. */
-    public void ended(String requestClass, End result) {
+    public void requestAnswered(String requestClass, End result) {
         int classIndex = classes.indexOf(requestClass); // linear search: there are only a few classes
         if (classIndex >= 0) {
             int index = classIndex * RESULT_COUNT + result.ordinal();
@@ -48,7 +48,7 @@
     }
 
     /** The last byte of an attempt's request was written to a host. */
-    public void sent() {
+    public void attemptSent() {
         add(Plain.SENDS, 1);
     }
 
@@ -58,7 +58,7 @@
      * @param size number of hosts on the list
      * @param avoided number of those that get no requests now, excluded by operators or avoided by the decision engine
      */
-    public void cluster(int size, int avoided) {
+    public void setHostCounts(int size, int avoided) {
         plainValues.lazySet(Plain.CLUSTER_SIZE.ordinal(), size);
         plainValues.lazySet(Plain.CLUSTER_UNHEALTHY.ordinal(), avoided);
     }
--- a/gateway/src/main/java/marlford/gateway/net/AdminCommandHandler.java
+++ b/gateway/src/main/java/marlford/gateway/net/AdminCommandHandler.java
@@ -39,12 +39,12 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return ready;
     }
 
     @Override
-    public boolean knows(String host) {
+    public boolean isListedHost(String host) {
         return listedHosts.contains(host);
     }
 
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void leftOutChanged() {
+    public void excludedHostsChanged() {
         loop.execute(applyExclusions);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/Attempt.java
+++ b/gateway/src/main/java/marlford/gateway/net/Attempt.java
@@ -39,7 +39,7 @@
 
     /** Checks the request again, because connecting takes time and the client may have disconnected meanwhile. */
     @Override
-    void connected() {
+    void onConnected() {
         node.endIfClientDisconnected(owner);
         if (!ended && !node.maySend(this)) {
             node.abandonAttempt(this, Outcome.CONNECT_FAILED);
@@ -47,20 +47,20 @@
     }
 
     @Override
-    void written() {
+    void onRequestWritten() {
         if (owner.message instanceof StreamedRequest) {
             sentAtMs = node.clock.now();
         }
-        node.figures.sent();
+        node.metrics.attemptSent();
     }
 
     @Override
-    HostConnection.Sink streams(HttpResponse head, Runnable more) {
+    HostConnection.Sink onLongResponse(HttpResponse head, Runnable more) {
         return node.startStreaming(this, head, more);
     }
 
     @Override
-    void ended(Outcome outcome, FullHttpResponse response) {
+    void onEnded(Outcome outcome, FullHttpResponse response) {
         node.attemptEnded(this, outcome, response);
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -190,7 +190,7 @@
             closeReason = reason;
             boolean answerDue = current != null || !queue.isEmpty();
             if (answerDue && reason.isWithoutClientFault() && channel.isActive()) {
-                node.rules.countBreach(Rule.CLOSED_UNANSWERED);
+                node.ruleCounter.countBreach(Rule.CLOSED_UNANSWERED);
             }
         }
         channel.close();
@@ -256,7 +256,7 @@
     }
 
     private void endStopped(Stall stopped) {
-        node.rules.stalledClientEnded(ClientProgress.stalledMs(node.clock.now(), stopped, progress()));
+        node.ruleCounter.stalledClientEnded(ClientProgress.stalledMs(node.clock.now(), stopped, progress()));
         keepAlive = false;
         if (stopped == Stall.READING) { // not a switch, whose helper class might have to be loaded with no descriptor left
             channel.config().setOption(ChannelOption.SO_LINGER, 0); // discards unread output, which would precede the close
@@ -357,7 +357,7 @@
             updateReading();
             busy = true;
             answered = false;
-            upload = StreamedRequest.restOf(message);
+            upload = StreamedRequest.bodyStreamOf(message);
             registry.markInUse(this);
             if (message instanceof RequestReader.UnreadableRequest) {
                 keepAlive = false; // the start of the next request is unknown
@@ -430,7 +430,7 @@
 
     /** Whether the last queued request has a long body of which as much as fits has been read. */
     private boolean isLongBodyAhead() {
-        RequestBodyStream bodyStream = queue.isEmpty() ? null : StreamedRequest.restOf(queue.peekLast().message());
+        RequestBodyStream bodyStream = queue.isEmpty() ? null : StreamedRequest.bodyStreamOf(queue.peekLast().message());
         return bodyStream != null && bodyStream.isFull();
     }
 
@@ -461,15 +461,15 @@
         // The engine holds the request from when its turn came on this connection; before that it held nothing up.
         double turnMs = now - node.lag.ms();
         Request parsed = requestParser.parse(request, now, arrivedMs, Math.max(arrivedMs, turnMs), remainingUploadMs());
-        if (parsed == null || node.knows(parsed.id())) {
-            boolean withoutId = !request.headers().contains(RequestParser.ID);
+        if (parsed == null || node.isRequestOpen(parsed.id())) {
+            boolean withoutId = !request.headers().contains(RequestParser.TRACE_ID);
             StreamedRequest.discard(request);
             onBadRequest();
             sendStatus(withoutId ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
         } else if (node.refusesRequests()) {
             StreamedRequest.discard(request);
             node.eventLog.refused(parsed.id(), node.hasStoppedSending() ? EventLog.Refusal.ENDING : EventLog.Refusal.TOO_MANY_OPEN);
-            node.figures.ended(parsed.requestClass(), ServiceMetrics.End.DEFERRED);
+            node.metrics.requestAnswered(parsed.requestClass(), ServiceMetrics.End.DEFERRED);
             sendStatus(HttpResponseStatus.SERVICE_UNAVAILABLE, node.config.settings().limits().maxRetryAfterMs());
         } else {
             engineRequests++;
@@ -537,12 +537,12 @@
         onWritable = whenReady;
         return new HostConnection.Sink() {
             @Override
-            public void part(ByteBuf part) {
+            public void write(ByteBuf part) {
                 channel.writeAndFlush(new DefaultHttpContent(part), channel.voidPromise());
             }
 
             @Override
-            public boolean ready() {
+            public boolean isWritable() {
                 return channel.isWritable();
             }
 
--- a/gateway/src/main/java/marlford/gateway/net/ClientServer.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientServer.java
@@ -9,7 +9,7 @@
 
 /** Accepts client connections and checks them at a regular interval. Used on the event loop. */
 final class ClientServer {
-    static final int MAX_BODY = 64 * 1024; // bytes of a body that is buffered; longer bodies are streamed
+    static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024; // bytes of a body that is buffered; longer bodies are streamed
     private static final long SWEEP_INTERVAL_MS = 100;
     private static final double FIRST_REQUEST_GRACE_MS = 200; // from connecting: longest round trip plus event loop lag
 
@@ -25,13 +25,13 @@
     ClientServer(Node node) {
         this.node = node;
         this.requestParser = new RequestParser(node.config.settings());
-        this.connections = new ClientConnectionRegistry(node.config.sockets());
+        this.connections = new ClientConnectionRegistry(node.config.maxDescriptors());
     }
 
     /** Opens the listener; clients are served once the returned future has succeeded. */
     ChannelFuture start() {
         if (node.isDraining()) {
-            node.rules.countBreach(Rule.LISTENED_WHILE_ENDING);
+            node.ruleCounter.countBreach(Rule.LISTENED_WHILE_ENDING);
         }
         AcceptRetry retry = new AcceptRetry(Node::log, this::onDescriptorShortage, node.clock::now);
         ChannelFuture bound = node.transport.server(node.group)
@@ -42,7 +42,7 @@
                         new ClientConnection(node, connections, requestParser, ch, ++acceptedCount, retry.backlogWaitMs())
                                 .addTo(ch.pipeline());
                     }
-                }).bind(node.transport.at(node.config.listen()));
+                }).bind(node.transport.socketAddress(node.config.listen()));
         boolean failed = bound.isDone() && !bound.isSuccess(); // for example, no socket could be created
         listener = failed ? null : bound.channel();
         acceptRetry = retry;
@@ -55,7 +55,7 @@
 
     /** Closes the listener. Connections that are pending by then are still accepted, even when the event loop lags. */
     void stopAccepting() {
-        pause();
+        pauseAccepting();
         node.loop.schedule(() -> {
             if (listener != null) { // null when a successor process took over meanwhile
                 acceptBacklog();
@@ -88,7 +88,7 @@
     }
 
     /** Closes idle connections. A connection that was just opened is kept, because its first request may be under way. */
-    void giveUpIdle() {
+    void closeIdleConnections() {
         connections.closeAllIdle(node.clock.now() - FIRST_REQUEST_GRACE_MS);
     }
 
@@ -96,7 +96,7 @@
      * Stops accepting for a moment. Must be called at least one iteration of the event loop before the listener is closed: the
      * system closes a socket that is still registered only in the next iteration, and it accepts connections until then.
      */
-    void pause() {
+    void pauseAccepting() {
         if (listener != null) {
             listener.deregister();
         }
@@ -107,7 +107,7 @@
      * first, as closing the listener would reset them. Idle connections that have carried a request are closed; the first
      * request of a new connection may be under way.
      */
-    void leave() {
+    void closeForSuccessor() {
         if (listener == null) {
             return;
         }
--- a/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
+++ b/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
@@ -91,7 +91,7 @@
     /** Reads the configuration that the process starts with. */
     synchronized NodeConfig first() throws NodeConfig.BadConfig {
         lastStamp = Stamp.of(file); // before reading, so that a concurrent write counts as a change
-        text = NodeConfig.bytes(file);
+        text = NodeConfig.readFile(file);
         newest = NodeConfig.parse(file, text);
         return newest;
     }
@@ -143,7 +143,7 @@
         }
         boolean contentChanged = false;
         try {
-            byte[] newText = NodeConfig.bytes(file);
+            byte[] newText = NodeConfig.readFile(file);
             contentChanged = !Arrays.equals(newText, text);
             if (contentChanged) {
                 newest = NodeConfig.parse(file, newText);
--- a/gateway/src/main/java/marlford/gateway/net/Discovery.java
+++ b/gateway/src/main/java/marlford/gateway/net/Discovery.java
@@ -44,7 +44,7 @@
  * that a new address that does not respond leaves the gateway no worse informed than before.
  */
 final class Discovery {
-    static final String LIST = "servers";
+    static final String SERVERS_FIELD = "servers";
     private static final String SERVERS_PATH = "/v1/servers";
     /** Failures in a row from which the agent counts as unavailable, and a start no longer waits for its first list. */
     private static final int FAILURES_UNTIL_UNAVAILABLE = 2;
@@ -89,7 +89,7 @@
     }
 
     /** Uses a list from before the start until an agent has sent one. */
-    void known(JsonNode cached) {
+    void useKnownList(JsonNode cached) {
         List<Entry> entries = readEntries(cached);
         if (entries.size() > hostLimit.hosts()) {
             Node.log("discovery: the list of hosts in the configuration: " + new ListTooLongException(hostLimit.hosts()).getMessage());
@@ -112,7 +112,7 @@
     }
 
     /** Changes to another agent. Its versions need not continue those of the previous one, so its whole list is fetched. */
-    void move(InetSocketAddress address) {
+    void changeAgent(InetSocketAddress address) {
         if (address.equals(agent)) {
             return;
         }
@@ -135,10 +135,10 @@
     }
 
     /** Replaces the set of hosts that operators have excluded. */
-    void leaveOut(Set<String> ids) {
+    void setExcludedHosts(Set<String> ids) {
         List<Host> changes = list.setExcluded(node.clock.now(), ids);
         if (!changes.isEmpty()) {
-            node.hostsTold(ListKind.CHANGES, withAddresses(changes, Map.of()));
+            node.onHostsUpdated(ListKind.CHANGES, withAddresses(changes, Map.of()));
         }
     }
 
@@ -147,7 +147,7 @@
      *
      * @param ms limited, since a start that takes longer would be considered failed
      */
-    void awaitList(long ms) {
+    void waitForList(long ms) {
         waitsForList = !hasList;
         node.loop.schedule(() -> {
             waitsForList = false;
@@ -159,17 +159,17 @@
     }
 
     /** Returns whether there is a list of hosts, or the gateway no longer waits for one. */
-    boolean ready() {
+    boolean isReady() {
         return hasList || !waitsForList;
     }
 
     /** Returns the ids of the hosts on the list, whatever their state. */
-    Set<String> listed() {
+    Set<String> listedHosts() {
         return list.listedIds();
     }
 
     /** Records a response of a host, as evidence that it is alive while the list is old. */
-    void served(String host) {
+    void recordResponse(String host) {
         list.hostAnswered(node.clock.now(), host);
     }
 
@@ -215,7 +215,7 @@
         // Scheduled before the call below, which may throw.
         node.loop.schedule(() -> retry(connection), delayMs, TimeUnit.MILLISECONDS);
         if (connection.holdsTurn) {
-            node.lists().called(agent.toString(), false, null);
+            node.sharedListFetch().reportResult(agent.toString(), false, null);
         }
     }
 
@@ -265,12 +265,12 @@
         }
         InetSocketAddress calledAgent = agent;
         AtomicBoolean done = new AtomicBoolean(); // the turn has come, or is no longer waited for
-        Consumer<SharedListFetch.Told> turn = fetched -> onLoop(() -> {
+        Consumer<SharedListFetch.FetchedList> turn = fetched -> onLoop(() -> {
             if (!done.getAndSet(true) && failed == current) {
                 onTurn(failed, calledAgent, fetched);
             }
         });
-        node.lists().due(calledAgent.toString(), turn);
+        node.sharedListFetch().requestTurn(calledAgent.toString(), turn);
         if (!done.get()) {
             node.loop.schedule(() -> turn.accept(null), backoff.sharedFetchWaitMs(node.clock.now()), TimeUnit.MILLISECONDS);
         }
@@ -289,7 +289,7 @@
      *
      * @param fetched a list that another gateway has fetched; null if it is this gateway's turn to call
      */
-    private void onTurn(AgentConnection failed, InetSocketAddress calledAgent, SharedListFetch.Told fetched) {
+    private void onTurn(AgentConnection failed, InetSocketAddress calledAgent, SharedListFetch.FetchedList fetched) {
         // For a while, a list is rejected whose agent has restarted its versions.
         if (fetched != null && !applyFetched(calledAgent, fetched)) {
             node.loop.schedule(() -> retry(failed), backoff.waitAfterFailure(node.clock.now()), TimeUnit.MILLISECONDS);
@@ -309,7 +309,7 @@
     }
 
     /** Applies a list that another gateway has fetched as if this one had. Returns whether it was accepted. */
-    private boolean applyFetched(InetSocketAddress sender, SharedListFetch.Told fetched) {
+    private boolean applyFetched(InetSocketAddress sender, SharedListFetch.FetchedList fetched) {
         try {
             HostListParser parser = new HostListParser(hostLimit.hosts());
             parser.feed(fetched.text().getBytes(StandardCharsets.UTF_8));
@@ -324,7 +324,7 @@
      * Offers a response to the list and passes the resulting changes to the node. If the node fails, the whole list is fetched
      * again, so that no change is lost. Returns whether the response was accepted.
      */
-    private boolean applyUpdate(InetSocketAddress sender, HostListAnswer update) throws ListTooLongException {
+    private boolean applyUpdate(InetSocketAddress sender, HostListUpdate update) throws ListTooLongException {
         List<Entry> entries = update.entries();
         List<Host> hosts = hosts(entries);
         if (!update.full() && list.listedCountAfter(hosts) > hostLimit.hosts()) {
@@ -367,7 +367,7 @@
         }
         ageLogged = stale;
         if (!changes.isEmpty()) {
-            node.hostsTold(ListKind.CHANGES, withAddresses(changes, Map.of()));
+            node.onHostsUpdated(ListKind.CHANGES, withAddresses(changes, Map.of()));
         }
     }
 
@@ -377,7 +377,7 @@
         for (Entry e : from) {
             addresses.put(e.host().id(), e.address());
         }
-        node.hostsTold(result.kind(), withAddresses(result.hosts(), addresses));
+        node.onHostsUpdated(result.kind(), withAddresses(result.hosts(), addresses));
     }
 
     private static List<Entry> withAddresses(List<Host> hosts, Map<String, InetSocketAddress> addresses) {
@@ -483,7 +483,7 @@
         /** @param isMine whether other gateways wait for the result; the text of the list is then kept for them */
         void setHoldsTurn(boolean isMine) {
             holdsTurn = isMine;
-            listHandler.keepText(isMine && node.lists() != SharedListFetch.NONE ? MAX_SHARED_TEXT_BYTES : 0);
+            listHandler.keepText(isMine && node.sharedListFetch() != SharedListFetch.NONE ? MAX_SHARED_TEXT_BYTES : 0);
         }
 
         private void stopTimeout() {
@@ -503,12 +503,12 @@
                 rejected = response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 throw new IOException("expected status 200, but the agent answered " + response.status());
             }
-            HostListAnswer update = response.list();
+            HostListUpdate update = response.list();
             long versionBefore = list.heldVersion(address);
             boolean accepted = applyUpdate(address, update);
             if (holdsTurn) { // even if it was not accepted here: other gateways decide for themselves
                 setHoldsTurn(false);
-                node.lists().called(address.toString(), true, update.full() ? response.text() : null);
+                node.sharedListFetch().reportResult(address.toString(), true, update.full() ? response.text() : null);
             }
             if (!accepted) {
                 throw new IOException("the agent sent version " + update.version() + " of the list, but version " + versionBefore
@@ -567,7 +567,7 @@
     static List<Entry> readEntries(JsonNode list) {
         List<Entry> entries = new ArrayList<>();
         HostEntryReader reader = new HostEntryReader();
-        for (JsonNode e : list.path(LIST)) {
+        for (JsonNode e : list.path(SERVERS_FIELD)) {
             reader.set(e);
             try {
                 entries.add(reader.toEntry());
--- a/gateway/src/main/java/marlford/gateway/net/HostClient.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostClient.java
@@ -49,7 +49,7 @@
      * sends the second one some milliseconds later; if the next request were already in flight, the duplicate could not be
      * distinguished from its response. It is a property of host faults, not of a deployment's traffic, and so not configurable.
      */
-    static final double REST_MS = 10;
+    static final double MIN_REST_MS = 10;
     /**
      * A connection that was idle for this long is preferred. It is not waited for: that would open more new connections, which
      * may take long to come up.
@@ -74,11 +74,11 @@
 
     HostClient(Node node) {
         this.node = node;
-        this.maxConnections = (int) (node.config.sockets() * HOST_CONNECTION_SHARE);
+        this.maxConnections = (int) (node.config.maxDescriptors() * HOST_CONNECTION_SHARE);
         this.bootstrap = node.transport.client(node.loop)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, node.config.connectTimeoutMs()));
         this.idleCheckIntervalMs = (long) Math.max(MIN_IDLE_CHECK_INTERVAL_MS,
-                Math.min(MAX_IDLE_CHECK_INTERVAL_MS, node.config.idleMs() * IDLE_CHECK_INTERVAL_SHARE));
+                Math.min(MAX_IDLE_CHECK_INTERVAL_MS, node.config.hostIdleMs() * IDLE_CHECK_INTERVAL_SHARE));
         node.loop.schedule(this::closeIdle, idleCheckIntervalMs, TimeUnit.MILLISECONDS);
     }
 
@@ -97,11 +97,11 @@
 
         /**
          * Removes and returns the most recently used connection that was idle for {@link #PREFERRED_REST_MS}, or else one that was
-         * idle for {@link #REST_MS}; null if there is none.
+         * idle for {@link #MIN_REST_MS}; null if there is none.
          */
         HostConnection pollRested(double now) {
             HostConnection preferred = pollIdleSince(now - PREFERRED_REST_MS);
-            return preferred != null ? preferred : pollIdleSince(now - REST_MS);
+            return preferred != null ? preferred : pollIdleSince(now - MIN_REST_MS);
         }
 
         private HostConnection pollIdleSince(double since) {
@@ -137,7 +137,7 @@
      * Brings the pools in line with a list of hosts. A pool is closed if its host is gone or absent from a whole list; it is
      * replaced if the host's address or incarnation has changed.
      */
-    void listed(ListKind kind, List<Discovery.Entry> entries) {
+    void updateHosts(ListKind kind, List<Discovery.Entry> entries) {
         Set<String> listedIds = new HashSet<>();
         for (Discovery.Entry e : entries) {
             String id = e.host().id();
@@ -169,7 +169,7 @@
      * connection may come up only after the drain's grace period. To be called after the decision engine has received
      * the list, or it would choose the same host again.
      */
-    void giveUpComingUp(List<Discovery.Entry> entries) {
+    void failPendingConnects(List<Discovery.Entry> entries) {
         for (Discovery.Entry e : entries) {
             Pool pool = pools.get(e.host().id());
             if (pool != null && e.host().state() != HostState.RUNNING) {
@@ -207,7 +207,7 @@
 
     /** A connection that has been idle since before this time is not reused: its host may be closing it at the moment. */
     private double oldestUsableIdleTime() {
-        return node.clock.now() - node.config.idleMs() * MAX_IDLE_SHARE;
+        return node.clock.now() - node.config.hostIdleMs() * MAX_IDLE_SHARE;
     }
 
     /** Closes an idle connection if the maximum is reached. Returns whether one more connection may be opened. */
@@ -234,18 +234,18 @@
 
     /** Builds an attempt's request. Called right before it is written; the node records the attempt as sent. */
     private FullHttpRequest attemptMessage(Attempt attempt) {
-        node.leaves(attempt);
+        node.beforeSend(attempt);
         FullHttpRequest received = attempt.owner.message;
-        RequestBodyStream rest = StreamedRequest.restOf(received);
+        RequestBodyStream rest = StreamedRequest.bodyStreamOf(received);
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, received.method(), received.uri());
         HttpHeaders headers = head.headers();
         headers.set(HttpHeaderNames.HOST, HOST_HEADER_VALUE);
-        headers.set(RequestParser.ID, attempt.owner.request.id());
-        headers.set(RequestParser.EXPIRES,
+        headers.set(RequestParser.TRACE_ID, attempt.owner.request.id());
+        headers.set(RequestParser.EXPIRES_IN_MS,
                 Long.toString((long) Math.max(1, attempt.owner.request.deadlineMs() - node.clock.now())));
-        String key = received.headers().get(RequestParser.KEY);
+        String key = received.headers().get(RequestParser.IDEMPOTENCY_KEY);
         if (key != null) {
-            headers.set(RequestParser.KEY, key);
+            headers.set(RequestParser.IDEMPOTENCY_KEY, key);
         }
         String type = received.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
@@ -285,7 +285,7 @@
             private boolean reported;
 
             @Override
-            void ended(Outcome outcome, FullHttpResponse response) {
+            void onEnded(Outcome outcome, FullHttpResponse response) {
                 if (!reported) {
                     reported = true;
                     callback.probeEnded(outcome, node.clock.now() - sentAt, response == null ? new double[0]
@@ -300,10 +300,10 @@
             return message;
         }, 0);
         node.loop.schedule(() -> {
-            probe.look();
+            probe.readPending();
             if (probe.isPending()) {
                 probe.abandon();
-                probe.ended(Outcome.TIMEOUT, null);
+                probe.onEnded(Outcome.TIMEOUT, null);
             }
         }, (long) PROBE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
@@ -316,7 +316,7 @@
     private void startExchange(String host, HostConnection.Exchange exchange, RequestFactory requestFactory, double retryMs) {
         Pool pool = pools.get(host);
         if (pool == null) {
-            exchange.ended(Outcome.CONNECT_FAILED, null); // the host is no longer on the list
+            exchange.onEnded(Outcome.CONNECT_FAILED, null); // the host is no longer on the list
             return;
         }
         double now = node.clock.now();
@@ -380,7 +380,7 @@
                 protected void initChannel(Channel ch) {
                     opened.attach(ch);
                 }
-            }).connect(node.transport.at(pool.address));
+            }).connect(node.transport.socketAddress(pool.address));
             connectFuture.addListener(f -> onLoop(() -> { // without a channel, Netty notifies on another thread
                 if (f.isSuccess()) {
                     onConnected(connectFuture.channel());
@@ -395,7 +395,7 @@
             pool.connecting.remove(connection);
             channel.closeFuture().addListener(closed -> connections--);
             if (connection.carries(exchange)) {
-                exchange.connected();
+                exchange.onConnected();
             }
             if (connection.carries(exchange)) {
                 connection.write(exchange, requestFactory.build());
@@ -438,7 +438,7 @@
     // ---- load reports
 
     /** Returns the load figures in a response's header, in the order of the settings; empty if there are none. */
-    double[] report(FullHttpResponse response) {
+    double[] parseLoadReport(FullHttpResponse response) {
         String text = response.headers().get(LOAD_REPORT_HEADER);
         return text == null ? new double[0] : parseReport(text);
     }
--- a/gateway/src/main/java/marlford/gateway/net/HostConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostConnection.java
@@ -83,17 +83,17 @@
         private HostConnection connection;
 
         /** Its connection is established and nothing of it was written yet. The callback may abandon the exchange. */
-        void connected() { }
+        void onConnected() { }
 
         /** The last byte of its request was written to the socket. */
-        void written() { }
+        void onRequestWritten() { }
 
         /**
          * Its response is too long to be aggregated. Returns the sink to stream it to, or null if it is not wanted.
          *
          * @param more to be run when the sink is ready again
          */
-        Sink streams(HttpResponse head, Runnable more) {
+        Sink onLongResponse(HttpResponse head, Runnable more) {
             return null;
         }
 
@@ -102,7 +102,7 @@
          *
          * @param response null if there is none; released after this call, and without a body if that was streamed
          */
-        abstract void ended(Outcome outcome, FullHttpResponse response);
+        abstract void onEnded(Outcome outcome, FullHttpResponse response);
 
         /** Returns whether a connection is established or being established for it, and it has not ended. */
         final boolean isPending() {
@@ -110,7 +110,7 @@
         }
 
         /** Returns whether the last byte of its request was written to the socket. */
-        final boolean leftWhole() {
+        final boolean isRequestWritten() {
             return connection != null && connection.requestWritten;
         }
 
@@ -118,7 +118,7 @@
          * Reads bytes that are already in the socket. To be called when a timeout fires: a response that has arrived by
          * then was not late, this event loop was. The exchange may end in this call.
          */
-        final void look() {
+        final void readPending() {
             HostConnection carrier = connection;
             if (carrier != null && carrier.channel != null && carrier.channel.isActive() && carrier.channel.config().isAutoRead()) {
                 Transport.readNow(carrier.channel);
@@ -141,10 +141,10 @@
     /** Receives the body of a streamed response. */
     interface Sink {
         /** Writes a part of the body and takes ownership of the buffer. */
-        void part(ByteBuf part);
+        void write(ByteBuf part);
 
         /** Returns whether another part may be written now. */
-        boolean ready();
+        boolean isWritable();
 
         /**
          * No further part follows.
@@ -228,10 +228,10 @@
             channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(),
                     message.headers()), channel.voidPromise());
             channel.writeAndFlush(new DefaultHttpContent(message.content()), channel.voidPromise());
-            requestBody = ((StreamedRequest) message).rest;
+            requestBody = ((StreamedRequest) message).bodyStream;
             uploadProgressAt = clock.now();
             pendingUploadBytes = 0;
-            requestBody.to(bodyTarget);
+            requestBody.forwardTo(bodyTarget);
             watchUpload(target);
         } else {
             channel.writeAndFlush(message).addListener(f -> onWriteCompleted(target, f.isSuccess()));
@@ -266,25 +266,25 @@
         }
         requestWritten = success;
         if (requestWritten) {
-            target.written();
+            target.onRequestWritten();
         } else {
             closeThenEnd(Outcome.CONNECT_FAILED);
         }
     }
 
-    private final RequestBodyStream.Taker bodyTarget = new RequestBodyStream.Taker() {
+    private final RequestBodyStream.Receiver bodyTarget = new RequestBodyStream.Receiver() {
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return channel.isWritable();
         }
 
         @Override
-        public void part(ByteBuf part) {
+        public void write(ByteBuf part) {
             channel.writeAndFlush(new DefaultHttpContent(part), channel.voidPromise());
         }
 
         @Override
-        public void last() {
+        public void finish() {
             Exchange target = exchange;
             requestBody = null;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> onWriteCompleted(target, f.isSuccess()));
@@ -296,14 +296,14 @@
         RequestBodyStream detached = requestBody;
         requestBody = null;
         if (detached != null) {
-            detached.leave(bodyTarget);
+            detached.stopForwarding(bodyTarget);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (requestBody != null) {
-            requestBody.flow();
+            requestBody.forward();
         }
     }
 
@@ -354,7 +354,7 @@
         exchange = null;
         if (target != null) {
             target.connection = null;
-            target.ended(outcome, response);
+            target.onEnded(outcome, response);
         }
         truncateSink(); // a complete streamed response has already ended its sink
     }
@@ -397,7 +397,7 @@
         if (!bounded || length > MAX_RESPONSE_BYTES || interimHead && ++interimResponses > MAX_INTERIM_RESPONSES
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             failInvalidResponse();
-        } else if (length > ClientServer.MAX_BODY) {
+        } else if (length > ClientServer.MAX_BUFFERED_BODY_BYTES) {
             startStreaming();
         }
     }
@@ -406,7 +406,7 @@
     private void startStreaming() {
         if (head.status().equals(HttpResponseStatus.OK)) {
             streamedBytes = 0;
-            sink = exchange.streams(head, this::resumeReading);
+            sink = exchange.onLongResponse(head, this::resumeReading);
         }
         if (sink == null) {
             failInvalidResponse();
@@ -415,7 +415,7 @@
 
     /** Resumes reading once the sink can take more. */
     private void resumeReading() {
-        if (sink != null && sink.ready() && !channel.config().isAutoRead()) {
+        if (sink != null && sink.isWritable() && !channel.config().isAutoRead()) {
             lastReadAt = clock.now();
             channel.config().setAutoRead(true);
         }
@@ -426,13 +426,13 @@
     }
 
     private void onContent(ChannelHandlerContext ctx, HttpContent content) {
-        if (sink == null && body.readableBytes() + content.content().readableBytes() > ClientServer.MAX_BODY) {
+        if (sink == null && body.readableBytes() + content.content().readableBytes() > ClientServer.MAX_BUFFERED_BODY_BYTES) {
             startStreaming();
             if (sink == null) {
                 return;
             }
         }
-        body = RequestReader.joined(ctx, body, content.content());
+        body = RequestReader.joinBuffers(ctx, body, content.content());
         if (sink != null) {
             passToSink();
             if (sink == null) {
@@ -475,8 +475,8 @@
             part.release();
             failInvalidResponse();
         } else if (part.isReadable()) {
-            sink.part(part);
-            if (sink != null && !sink.ready()) {
+            sink.write(part);
+            if (sink != null && !sink.isWritable()) {
                 channel.config().setAutoRead(false);
             }
         }
@@ -523,7 +523,7 @@
         stallTimer = channel.eventLoop().schedule(() -> {
             stallTimer = null;
             if (exchange == target) {
-                target.look(); // reading arms the timer again if bytes were available
+                target.readPending(); // reading arms the timer again if bytes were available
             }
             if (exchange == target) {
                 watchForStall();
--- a/gateway/src/main/java/marlford/gateway/net/HostListHandler.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListHandler.java
@@ -27,7 +27,7 @@
      * @param list null if the status is not 200
      * @param text of the list; null if it was not to be kept or exceeds the limit
      */
-    record Response(HttpResponseStatus status, boolean keepAlive, HostListAnswer list, String text) { }
+    record Response(HttpResponseStatus status, boolean keepAlive, HostListUpdate list, String text) { }
 
     private final int maxHosts;
     private int maxTextBytes;
@@ -98,7 +98,7 @@
     }
 
     private void end(ChannelHandlerContext ctx) throws IOException {
-        HostListAnswer list = parser == null ? null : parser.end();
+        HostListUpdate list = parser == null ? null : parser.end();
         Response response = new Response(head.status(), HttpUtil.isKeepAlive(head), list,
                 text == null ? null : text.toString(StandardCharsets.UTF_8));
         reset();
--- a/gateway/src/main/java/marlford/gateway/net/HostListParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListParser.java
@@ -70,14 +70,14 @@
     }
 
     /** Returns the result, once all bytes were fed. */
-    HostListAnswer end() throws IOException {
+    HostListUpdate end() throws IOException {
         if (position != Position.END) {
             throw new UnreadableListException("the list of hosts is truncated");
         }
         if (invalidEntries > MAX_INVALID_ENTRIES_LOGGED) {
             Node.log("discovery: " + (invalidEntries - MAX_INVALID_ENTRIES_LOGGED) + " further entries in the list of hosts are invalid");
         }
-        return new HostListAnswer(version, full, entries);
+        return new HostListUpdate(version, full, entries);
     }
 
     private void onToken(JsonToken token) throws IOException {
@@ -106,7 +106,7 @@
             field = parser.currentName();
         } else if (token == JsonToken.END_OBJECT) {
             position = Position.END;
-        } else if (token == JsonToken.START_ARRAY && field.equals(Discovery.LIST)) {
+        } else if (token == JsonToken.START_ARRAY && field.equals(Discovery.SERVERS_FIELD)) {
             position = Position.SERVERS;
             entries.clear();
         } else if (token.isStructStart()) {
--- a/gateway/src/main/java/marlford/gateway/net/HostListAnswer.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListUpdate.java
@@ -10,4 +10,4 @@
  * @param full whether it is the whole list
  * @param entries the hosts that it names, in their order
  */
-record HostListAnswer(long version, boolean full, List<Discovery.Entry> entries) { }
+record HostListUpdate(long version, boolean full, List<Discovery.Entry> entries) { }
--- a/gateway/src/main/java/marlford/gateway/net/HostStateTracker.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostStateTracker.java
@@ -21,7 +21,7 @@
     }
 
     /** Takes over a list of hosts, or changes to it. */
-    void told(ListKind kind, List<Host> list) {
+    void update(ListKind kind, List<Host> list) {
         double now = clock.now();
         Set<String> listedIds = new HashSet<>();
         for (Host host : list) {
--- a/gateway/src/main/java/marlford/gateway/net/LocalFailure.java
+++ b/gateway/src/main/java/marlford/gateway/net/LocalFailure.java
@@ -17,11 +17,11 @@
 
     /** Returns whether a connect failed on this machine, before the remote host was involved. */
     static boolean isLocal(Throwable cause) {
-        return cause instanceof BindException || isWantOfResources(cause);
+        return cause instanceof BindException || isResourceExhaustion(cause);
     }
 
     /** Returns whether a failure or one of its causes is a lack of descriptors, buffers or memory. */
-    static boolean isWantOfResources(Throwable failure) {
+    static boolean isResourceExhaustion(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof ChannelException) { // Netty could not create the socket
                 return true;
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -62,7 +62,7 @@
     }
 
     /** Sends messages to the other gateways. */
-    interface Mail {
+    interface PeerSender {
         /** @param peer index of the receiver in the configured list of peers */
         void send(int peer, byte[] data);
     }
@@ -74,24 +74,24 @@
     final NioEventLoopGroup group;
     final EventLoop loop;
     final EventLoopLag lag;
-    final ServiceMetrics figures;
+    final ServiceMetrics metrics;
     private final Events engine;
     final EventLog eventLog;
-    final RuleCounter rules = new RuleCounter();
+    final RuleCounter ruleCounter = new RuleCounter();
     private final ClientDepartureCounters departures = new ClientDepartureCounters();
     private final ArrayDeque<PendingEvent> pendingEvents = new ArrayDeque<>();
     private final Map<String, OpenRequest> openRequests = new HashMap<>();
-    final ClientServer clients;
+    final ClientServer clientServer;
     private final HostClient hostClient;
     private final HostStateTracker hostStates;
     private final Discovery discovery;
     private final PeerLink peerLink;
-    private Mail peerSender;
+    private PeerSender peerSender;
     private final CountDownLatch drained = new CountDownLatch(1);
     private boolean delivering;
     private boolean serving; // messages from peers are dropped until then, because the engine has not been started
     private final AdminCommandHandler adminCommands;
-    GatewayExtensions extras = GatewayExtensions.NONE; // must be set before start()
+    GatewayExtensions extensions = GatewayExtensions.NONE; // must be set before start()
     private Console console; // null when no console address is configured
     private boolean draining;
     private boolean releasingClients; // the drain has reached the point from which every answer closes its connection
@@ -127,13 +127,14 @@
         this.loop = group.next();
         this.lag = new EventLoopLag(clock, loop);
         this.engine = engineFactory.apply(this);
-        this.figures = new ServiceMetrics(config.settings().classes().stream().map(RequestClass::name).toList());
-        this.clients = new ClientServer(this);
+        this.metrics = new ServiceMetrics(config.settings().classes().stream().map(RequestClass::name).toList());
+        this.clientServer = new ClientServer(this);
         this.hostClient = new HostClient(this);
         this.hostStates = new HostStateTracker(clock);
         this.discovery = new Discovery(this);
         this.peerLink = new PeerLink(this);
-        this.adminCommands = new AdminCommandHandler(loop, this::quiesce, this::resume, () -> discovery.leaveOut(console.leftOut()));
+        this.adminCommands = new AdminCommandHandler(loop, this::quiesce, this::resume,
+                () -> discovery.setExcludedHosts(console.excludedHosts()));
         this.peerSender = peerLink;
     }
 
@@ -174,30 +175,30 @@
         NodeConfig config = reloader.first();
         RuntimeDirectory runtimeDirectory = RuntimeDirectory.in(folder, config.name(), config.listen());
         Predecessor predecessor = runtimeDirectory == null ? null
-                : Predecessor.find(runtimeDirectory.successor(), budget.limitMs(Step.PREDECESSOR_REPLY));
+                : Predecessor.find(runtimeDirectory.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
         // The address may be held by a process of an earlier version or by an unrelated program.
         if (runtimeDirectory != null && predecessor == null && !Transport.TCP.isFree(config.listen())) {
-            RuntimeDirectory earlierVersion = RuntimeDirectory.before(folder, config.name());
-            predecessor = Predecessor.find(earlierVersion.successor(), budget.limitMs(Step.PREDECESSOR_REPLY));
+            RuntimeDirectory earlierVersion = RuntimeDirectory.ofEarlierVersion(folder, config.name());
+            predecessor = Predecessor.find(earlierVersion.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
             runtimeDirectory = predecessor == null ? runtimeDirectory
-                    : new RuntimeDirectory(earlierVersion.excludedHosts(), runtimeDirectory.successor());
+                    : new RuntimeDirectory(earlierVersion.excludedHosts(), runtimeDirectory.successorSocket());
         }
         Node initialNode = new Node(config);
-        initialNode.extras = extras;
+        initialNode.extensions = extras;
         initialNode.openConsole(runtimeDirectory);
         if (predecessor == null) {
             initialNode.loop.execute(initialNode.peerLink::start);
         }
         long beganMs = budget.ageMs();
         long limitMs = budget.limitMs(predecessor == null ? Step.WARM_UP_ALONE : Step.WARM_UP);
-        int answers = WarmUp.run(config, WarmUp.FULL_WARM_UP_ANSWERS, limitMs, initialNode::isMissed);
+        int answers = WarmUp.run(config, WarmUp.FULL_WARM_UP_ANSWERS, limitMs, initialNode::hasHeardFromPeers);
         log("warm after " + answers + " warm-up answers, from " + beganMs + " to " + budget.ageMs() + " ms of process age");
         NodeConfig newest = reloader.newest(); // the file may have changed during the warm-up, with or without a SIGHUP
         Node node = initialNode;
         if (newest != config) {
             initialNode.stop();
             node = new Node(newest);
-            node.extras = extras;
+            node.extensions = extras;
             node.openConsole(runtimeDirectory);
             log("start: the configuration file changed during the warm-up; the start continues with its new content");
         }
@@ -215,7 +216,7 @@
         if (runtimeDirectory != null) {
             // On its own thread, because System.exit runs the shutdown hook that drains the node and never returns.
             Runnable exit = () -> new Thread(() -> System.exit(0)).start();
-            new Successor(runtimeDirectory.successor(), node.place(exit), Node::log).open();
+            new Successor(runtimeDirectory.successorSocket(), node.handoverSteps(exit), Node::log).open();
         }
         return node;
     }
@@ -242,23 +243,23 @@
         openConsole(null);
         CountDownLatch listReceived = new CountDownLatch(1);
         try {
-            boolean tookOver = predecessor != null && predecessor.take(budget.limitMs(Step.LEDGERS_RELEASED));
+            boolean tookOver = predecessor != null && predecessor.takeOver(budget.limitMs(Step.LEDGERS_RELEASED));
             if (!tookOver) {
                 StartRetry.call(() -> {
-                    transport.claim(config.listen());
+                    transport.verifyUnused(config.listen());
                     return null;
                 });
             }
-            if (tookOver && predecessor.away()) {
+            if (tookOver && predecessor.wasQuiesced()) {
                 adminCommands.quiesce();
             }
             loop.submit(() -> {
-                if (!peerLink.started()) {
+                if (!peerLink.isStarted()) {
                     peerLink.start();
                 }
                 beginServing();
                 if (!tookOver) { // during an upgrade the gateway stays in service
-                    discovery.awaitList(budget.maxUnhealthyMs(!isMissed()));
+                    discovery.waitForList(budget.maxUnhealthyMs(!hasHeardFromPeers()));
                 }
                 discovery.start(listReceived::countDown);
             }).sync();
@@ -267,10 +268,10 @@
             if (!StartRetry.call(this::openListener)) {
                 return false;
             }
-            if (tookOver && !predecessor.serving(budget.limitMs(Step.LISTENER_RELEASED))) {
+            if (tookOver && !predecessor.reportServing(budget.limitMs(Step.LISTENER_RELEASED))) {
                 log("upgrade: the previous process did not confirm in time that it stopped accepting; check that it has ended");
             }
-            adminCommands.setReady(!tookOver || !predecessor.away());
+            adminCommands.setReady(!tookOver || !predecessor.wasQuiesced());
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -282,7 +283,7 @@
 
     /** Opens the listener; returns false without opening it when the process has been told to end meanwhile. */
     private boolean openListener() throws InterruptedException {
-        ChannelFuture opening = loop.submit(() -> draining ? null : clients.start()).sync().getNow();
+        ChannelFuture opening = loop.submit(() -> draining ? null : clientServer.start()).sync().getNow();
         if (opening == null) {
             return false;
         }
@@ -297,7 +298,7 @@
      */
     void openConsole(RuntimeDirectory runtimeDirectory) throws IOException {
         if (console == null && config.console() != null) {
-            console = new Console(adminCommands, figures, extras.pages(),
+            console = new Console(adminCommands, metrics, extensions.pages(),
                     runtimeDirectory == null ? null : runtimeDirectory.excludedHosts(), Node::log);
             listenOnConsole();
         }
@@ -331,7 +332,7 @@
     private void keepClientsIfAllowed() {
         if (!draining && !releasesClients()) {
             releasingSinceMs = Double.POSITIVE_INFINITY;
-            adminCommands.setReady(clients.listener() != null);
+            adminCommands.setReady(clientServer.listener() != null);
         }
     }
 
@@ -342,10 +343,10 @@
      *
      * @param exit runs once the successor has shown that it serves clients
      */
-    Successor.Place place(Runnable exit) {
-        return new Successor.Place() {
+    Successor.ServingProcess handoverSteps(Runnable exit) {
+        return new Successor.ServingProcess() {
             @Override
-            public boolean release() throws InterruptedException {
+            public boolean handOver() throws InterruptedException {
                 loop.submit(() -> {
                     peerLink.stop();
                     deliver((now, events) -> events.onReplaced(now));
@@ -354,23 +355,23 @@
             }
 
             @Override
-            public void leave() throws InterruptedException {
-                loop.submit(clients::pause).sync();
+            public void stopAccepting() throws InterruptedException {
+                loop.submit(clientServer::pauseAccepting).sync();
                 loop.schedule(() -> {
                     replaced = true;
                     releasingSinceMs = Math.min(releasingSinceMs, clock.now());
                     adminCommands.setReady(false);
-                    clients.leave();
+                    clientServer.closeForSuccessor();
                 }, LOOP_ITERATION_MS, TimeUnit.MILLISECONDS).sync();
             }
 
             @Override
-            public void takeBack() throws InterruptedException {
+            public void resume() throws InterruptedException {
                 loop.submit(Node.this::resumeAfterHandover).sync();
             }
 
             @Override
-            public void end() {
+            public void shutDown() {
                 exit.run();
             }
         };
@@ -393,7 +394,7 @@
         if (draining || replaced) {
             return;
         }
-        clients.start().addListener(f -> {
+        clientServer.start().addListener(f -> {
             if (!f.isSuccess()) {
                 log("upgrade: can't reopen the listener after the new process failed, will retry: " + f.cause().getMessage());
                 loop.schedule(this::reopenListener, LISTEN_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
@@ -404,22 +405,22 @@
     /** Publishes the host counts, which only the event loop can compute, to the console. */
     private void publishHostCounts() {
         loop.schedule(this::publishHostCounts, HOST_COUNT_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        figures.cluster(adminCommands.listedHostCount(), avoided());
+        metrics.setHostCounts(adminCommands.listedHostCount(), avoidedHostCount());
     }
 
     /** Returns the number of listed hosts that are distrusted or closed. */
-    int avoided() {
+    int avoidedHostCount() {
         return engine.avoidedHostCount(clock.now());
     }
 
     /** Logs one line per second of activity counts and event loop lag; the lines of many gateways can be added up by second. */
     private void logActivity() {
         loop.schedule(this::logActivity, ACTIVITY_LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        extras.usageRecorder().look();
+        extensions.usageRecorder().onTick();
         String activity = engine.takeActivityLine(clock.now());
         if (!activity.isEmpty()) {
-            log("did " + activity + " clients=" + clients.connectionCount() + " late=" + Math.round(lag.ms()) + departures.takeCounts()
-                    + eventLog.takeCounts() + rules.text());
+            log("did " + activity + " clients=" + clientServer.connectionCount() + " late=" + Math.round(lag.ms()) + departures.takeCounts()
+                    + eventLog.takeCounts() + ruleCounter.text());
         }
     }
 
@@ -427,14 +428,14 @@
      * Whether other gateways have been heard from. Their clients would rather be served by this gateway at once than wait
      * until it has reached its full speed.
      */
-    boolean isMissed() {
-        return peerLink.hasHeard();
+    boolean hasHeardFromPeers() {
+        return peerLink.hasReceivedMessage();
     }
 
     /** Starts the decision engine with the hosts in the configuration and opens the listener. */
     ChannelFuture listen() {
         beginServing();
-        return clients.start();
+        return clientServer.start();
     }
 
     private void beginServing() {
@@ -444,27 +445,27 @@
         }
         lag.start();
         deliver((now, events) -> events.onStart(now, config.settings()));
-        double aloneSinceMs = peerLink.aloneSince();
+        double aloneSinceMs = peerLink.addressHeldSince();
         if (aloneSinceMs < Double.POSITIVE_INFINITY) {
             deliver((now, events) -> events.onNoOtherSpenderSince(now, aloneSinceMs));
         }
         if (console != null) {
-            discovery.leaveOut(console.leftOut());
+            discovery.setExcludedHosts(console.excludedHosts());
             publishHostCounts();
         }
-        if (config.known().hasNonNull(Discovery.LIST)) {
-            discovery.known(config.known());
+        if (config.knownHosts().hasNonNull(Discovery.SERVERS_FIELD)) {
+            discovery.useKnownList(config.knownHosts());
         }
     }
 
     /** Replaces the datagram link to the other gateways. */
-    void usePeerSender(Mail other) {
+    void usePeerSender(PeerSender other) {
         peerSender = other;
     }
 
     /** Applies the settings that may change while clients are served; the others take effect at the next start. */
     void reload(NodeConfig newConfig) {
-        loop.execute(() -> discovery.move(newConfig.discovery()));
+        loop.execute(() -> discovery.changeAgent(newConfig.discovery()));
     }
 
     /** Writes a line to stderr, the log of the process. May be called from any thread. */
@@ -508,7 +509,7 @@
      * as that process is the same gateway.
      */
     boolean isHealthy() {
-        return !draining && !quiesced && discovery.ready();
+        return !draining && !quiesced && discovery.isReady();
     }
 
     /** Returns since when {@link #releasesClients} holds, in milliseconds; infinite when it does not. */
@@ -517,7 +518,7 @@
     }
 
     /** Whether a request with this id is open; a second one would receive the answer that belongs to the first. */
-    boolean knows(String id) {
+    boolean isRequestOpen(String id) {
         return openRequests.containsKey(id);
     }
 
@@ -525,10 +526,10 @@
     void onRequestReceived(Request request, FullHttpRequest message, ClientConnection client) {
         OpenRequest entry = new OpenRequest(request, message, client);
         openRequests.put(request.id(), entry);
-        figures.taken();
+        metrics.requestAccepted();
         client.setCurrentRequest(entry);
         double remainingMs = request.deadlineMs() - clock.now();
-        entry.deadlineTimer = loop.schedule(() -> deadline(request.id()), toMicros(remainingMs), TimeUnit.MICROSECONDS);
+        entry.deadlineTimer = loop.schedule(() -> onDeadline(request.id()), toMicros(remainingMs), TimeUnit.MICROSECONDS);
         deliver((now, events) -> events.onRequest(now, request));
     }
 
@@ -551,7 +552,7 @@
     }
 
     /** Ends the attempts of a request at its deadline. Answers the request if the engine leaves it open even then (rule 1). */
-    void deadline(String id) {
+    void onDeadline(String id) {
         OpenRequest entry = openRequests.get(id);
         if (entry == null) {
             return;
@@ -576,7 +577,7 @@
     }
 
     private void timeOut(Attempt attempt) {
-        attempt.look();
+        attempt.readPending();
         // An answer that is being streamed may continue past the deadline.
         if (!attempt.ended && attempt != attempt.owner.streamingAttempt) {
             abandonAttempt(attempt, Outcome.TIMEOUT);
@@ -602,7 +603,7 @@
     /** Cancels attempts that are not completely written, whatever the cancel setting says: they must never reach a host whole. */
     private void cancelUnwritten(OpenRequest entry) {
         for (Attempt attempt : List.copyOf(entry.attempts)) {
-            if (!attempt.ended && !attempt.leftWhole()) {
+            if (!attempt.ended && !attempt.isRequestWritten()) {
                 abandonAttempt(attempt, Outcome.CANCELLED);
             }
         }
@@ -665,22 +666,23 @@
         entry.attemptsInFlight--;
         eventLog.attemptEnded(entry.request.id(), attempt.number, outcome);
         if (response != null) {
-            discovery.served(attempt.host);
+            discovery.recordResponse(attempt.host);
         }
         if (entry.streamingAttempt == attempt) {
-            figures.closed();
-            figures.ended(entry.request.requestClass(), outcome == Outcome.OK ? ServiceMetrics.End.ANSWERED : ServiceMetrics.End.ERRORED);
+            metrics.requestClosed();
+            metrics.requestAnswered(entry.request.requestClass(),
+                    outcome == Outcome.OK ? ServiceMetrics.End.ANSWERED : ServiceMetrics.End.ERRORED);
         }
         if (outcome == Outcome.OK) {
             ClientConnection client = closeRequest(entry);
             if (client != null) {
-                figures.ended(entry.request.requestClass(), ServiceMetrics.End.ANSWERED);
+                metrics.requestAnswered(entry.request.requestClass(), ServiceMetrics.End.ANSWERED);
                 client.sendHostAnswer(response);
             }
         }
         boolean closed = entry.isClosed();
         double tookMs = (attempt.streamedAtMs > 0 ? attempt.streamedAtMs : clock.now()) - attempt.sentAtMs;
-        double[] report = response == null ? NO_LOAD_REPORT : hostClient.report(response);
+        double[] report = response == null ? NO_LOAD_REPORT : hostClient.parseLoadReport(response);
         deliver((now, events) -> events.onAttemptEnded(now,
                 new AttemptResult(entry.request.id(), attempt.number, attempt.host, outcome, tookMs, closed, 0, 0, report)));
         removeIfFinished(entry);
@@ -688,9 +690,9 @@
 
     private ClientConnection closeRequest(OpenRequest entry) {
         if (!entry.isClosed()) {
-            figures.closed();
+            metrics.requestClosed();
             if (entry.client() != null && clock.now() > entry.request.deadlineMs() + LATE_ANSWER_LIMIT_MS) {
-                rules.countBreach(Rule.ANSWERED_LATE);
+                ruleCounter.countBreach(Rule.ANSWERED_LATE);
             }
         }
         return entry.close();
@@ -704,17 +706,17 @@
     }
 
     /** Passes a host list, or changes to it, to the connection pools, the console and the decision engine. */
-    void hostsTold(ListKind kind, List<Discovery.Entry> entries) {
-        hostClient.listed(kind, entries);
-        adminCommands.setListedHosts(discovery.listed());
+    void onHostsUpdated(ListKind kind, List<Discovery.Entry> entries) {
+        hostClient.updateHosts(kind, entries);
+        adminCommands.setListedHosts(discovery.listedHosts());
         List<Host> list = Discovery.hosts(entries);
-        hostStates.told(kind, list);
+        hostStates.update(kind, list);
         deliver((now, events) -> events.onHosts(now, kind, list));
-        hostClient.giveUpComingUp(entries);
+        hostClient.failPendingConnects(entries);
     }
 
     /** Passes a message from another gateway to the decision engine. */
-    void peerSaid(int peer, byte[] data) {
+    void onPeerMessage(int peer, byte[] data) {
         if (serving) {
             deliver((now, events) -> events.onPeerMessage(now, peer, data));
         }
@@ -733,7 +735,7 @@
         Attempt attempt = new Attempt(this, entry, host, now);
         entry.attempts.add(attempt);
         entry.attemptsInFlight++;
-        RequestBodyStream bodyStream = StreamedRequest.restOf(entry.message);
+        RequestBodyStream bodyStream = StreamedRequest.bodyStreamOf(entry.message);
         // A body that a host has begun to receive can't be sent to another one.
         boolean bodyPartlySent = bodyStream != null && !bodyStream.isUnclaimed();
         if (bodyPartlySent || sendingStopped || entry.isClosed() || now >= entry.request.deadlineMs()
@@ -742,7 +744,7 @@
             return;
         }
         if (attempt.number == 0) {
-            extras.usageRecorder().admitted(entry.request.customer(), entry.request.units());
+            extensions.usageRecorder().admitted(entry.request.customer(), entry.request.units());
         }
         if (timeoutMs > 0) {
             attempt.setTimeoutTimer(loop.schedule(() -> timeOut(attempt), toMicros(timeoutMs), TimeUnit.MICROSECONDS));
@@ -768,7 +770,7 @@
         if (broken == null) {
             return false;
         }
-        rules.countBreach(broken);
+        ruleCounter.countBreach(broken);
         log("defect: prevented " + broken + " of request " + attempt.owner.request.id());
         return true;
     }
@@ -817,7 +819,7 @@
         ClientConnection client = entry == null ? null : closeRequest(entry);
         if (client != null) {
             boolean refused = status == HttpResponseStatus.TOO_MANY_REQUESTS;
-            figures.ended(entry.request.requestClass(), refused ? ServiceMetrics.End.DEFERRED : ServiceMetrics.End.ERRORED);
+            metrics.requestAnswered(entry.request.requestClass(), refused ? ServiceMetrics.End.DEFERRED : ServiceMetrics.End.ERRORED);
             client.sendStatus(status, retryAfterMs);
         }
         if (entry != null) {
@@ -840,13 +842,13 @@
     ServingGateway servingGateway() {
         return new ServingGateway() {
             @Override
-            public boolean mayProbe() {
+            public boolean allowsProbes() {
                 return config.settings().limits().probes();
             }
 
             @Override
-            public void listed(Consumer<Set<String>> to) {
-                loop.execute(() -> to.accept(discovery.listed()));
+            public void listHosts(Consumer<Set<String>> to) {
+                loop.execute(() -> to.accept(discovery.listedHosts()));
             }
 
             @Override
@@ -855,34 +857,34 @@
             }
 
             @Override
-            public void evidence(String host, Outcome outcome, double tookMs, double ageMs) {
+            public void reportProbeResult(String host, Outcome outcome, double tookMs, double ageMs) {
                 loop.execute(() -> deliver((now, events) -> events.onProbeResult(now - ageMs, host, outcome, tookMs, new double[0])));
             }
         };
     }
 
     /** Records that an attempt is about to be written to its host, and counts each rule that this violates. */
-    void leaves(Attempt attempt) {
+    void beforeSend(Attempt attempt) {
         attempt.writeStarted = true;
         double now = clock.now();
         departures.recordSend(now - attempt.owner.disconnectedAtMs);
         if (now - attempt.owner.disconnectedAtMs > ClientDepartureCounters.SEND_GRACE_MS) {
-            rules.countBreach(Rule.SENT_FOR_LEFT_CLIENT);
+            ruleCounter.countBreach(Rule.SENT_FOR_LEFT_CLIENT);
         }
         double grace = config.settings().rules().drainGraceMs();
         if (grace > 0 && AttemptGuard.isDrained(now, hostStates.state(attempt.host), hostStates.sinceMs(attempt.host), grace)) {
-            rules.countBreach(Rule.SENT_TO_DRAINING);
+            ruleCounter.countBreach(Rule.SENT_TO_DRAINING);
         }
         if (now > attempt.owner.request.deadlineMs()) {
-            rules.countBreach(Rule.SENT_AFTER_DEADLINE);
+            ruleCounter.countBreach(Rule.SENT_AFTER_DEADLINE);
         }
         if (attempt.owner.isClosed()) {
-            rules.countBreach(Rule.SENT_AFTER_ANSWER);
+            ruleCounter.countBreach(Rule.SENT_AFTER_ANSWER);
         }
     }
 
-    SharedListFetch lists() {
-        return extras.sharedListFetch();
+    SharedListFetch sharedListFetch() {
+        return extensions.sharedListFetch();
     }
 
     @Override
@@ -912,7 +914,7 @@
         loop.execute(this::drain);
         try {
             awaitDrained((long) shutdownSchedule.exitMs());
-            if (isMissed() && !replaced && !endedBeforeServing) {
+            if (hasHeardFromPeers() && !replaced && !endedBeforeServing) {
                 log("drained: keeps books (quota ledgers) for the other gateways until the scheduled exit time");
                 TimeUnit.NANOSECONDS.sleep(exitNanos - System.nanoTime());
             }
@@ -929,13 +931,13 @@
      * served yet ends at once.
      */
     void drain() {
-        if (clients.listener() == null && !replaced) {
+        if (clientServer.listener() == null && !replaced) {
             draining = true;
             endedBeforeServing = true;
             drained.countDown();
             return;
         }
-        drainAfter(isMissed() && !releasesClients() ? shutdownSchedule.keepClientsUntilMs() : 0);
+        drainAfter(hasHeardFromPeers() && !releasesClients() ? shutdownSchedule.keepClientsUntilMs() : 0);
     }
 
     /** @param stayMs for how long clients may send further requests on open connections */
@@ -944,29 +946,29 @@
         draining = true;
         adminCommands.setReady(false);
         if (stayMs <= 0) {
-            leave();
+            releaseClients();
         } else {
-            loop.schedule(this::leave, toMicros(stayMs), TimeUnit.MICROSECONDS);
+            loop.schedule(this::releaseClients, toMicros(stayMs), TimeUnit.MICROSECONDS);
         }
-        loop.schedule(clients::stopAccepting, toMicros(shutdownSchedule.acceptUntilMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(clientServer::stopAccepting, toMicros(shutdownSchedule.acceptUntilMs()), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
-            clients.giveUpIdle();
+            clientServer.closeIdleConnections();
             awaitEmpty();
         }, toMicros(Math.max(shutdownSchedule.acceptUntilMs() + DRAIN_POLL_MS, stayMs)), TimeUnit.MICROSECONDS);
-        loop.schedule(this::endAll, toMicros(shutdownSchedule.abandonMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(this::endAllRequests, toMicros(shutdownSchedule.abandonMs()), TimeUnit.MICROSECONDS);
         loop.schedule(() -> deliver((now, events) -> events.onShutdown(now)), toMicros(shutdownSchedule.peerFarewellMs()),
                 TimeUnit.MICROSECONDS);
     }
 
     /** From here on every answer closes its connection. */
-    void leave() {
+    void releaseClients() {
         eventLog.state("leaving");
         releasingClients = true;
         releasingSinceMs = Math.min(releasingSinceMs, clock.now());
     }
 
     /** Ends every attempt and answers every open request; later requests are refused. */
-    void endAll() {
+    void endAllRequests() {
         eventLog.state("over");
         sendingStopped = true;
         for (OpenRequest entry : List.copyOf(openRequests.values())) {
@@ -990,10 +992,10 @@
     }
 
     private void awaitEmpty() {
-        if (openRequests.isEmpty() && clients.hasNoConnections()) {
+        if (openRequests.isEmpty() && clientServer.hasNoConnections()) {
             drained.countDown();
         } else {
-            clients.giveUpIdle(); // also closes connections that were new, or had received a request, at the last check
+            clientServer.closeIdleConnections(); // also closes connections that were new, or had received a request, at the last check
             loop.schedule(this::awaitEmpty, DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -1005,26 +1007,26 @@
 
     /** Returns the port of the listener, for configurations that let the system choose it. */
     int port() {
-        return ((InetSocketAddress) clients.listener().localAddress()).getPort();
+        return ((InetSocketAddress) clientServer.listener().localAddress()).getPort();
     }
 
     /** Returns the number of open client connections. */
-    int connections() {
-        return clients.connectionCount();
+    int connectionCount() {
+        return clientServer.connectionCount();
     }
 
     /** Returns the number of requests in the table of open requests. */
-    int openRequests() {
+    int openRequestCount() {
         return openRequests.size();
     }
 
     /** Whether a client connection has output that could not be written to its socket. */
-    boolean hasUnsent() {
-        return clients.hasUnsentOutput();
+    boolean hasUnsentOutput() {
+        return clientServer.hasUnsentOutput();
     }
 
     /** Returns the address of the console, for configurations that let the system choose the port. */
-    InetSocketAddress console() {
+    InetSocketAddress consoleAddress() {
         return console.address();
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
+++ b/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
@@ -30,16 +30,16 @@
  * @param peerListen address for messages of the other gateways; null when peers exchange no messages
  * @param peers addresses of all gateways of the tier, by their number
  * @param peersAll address that reaches all peers at once; null for none
- * @param sockets number of file descriptors that the process may hold
- * @param known host list with which the gateway starts; may be a missing node
+ * @param maxDescriptors number of file descriptors that the process may hold
+ * @param knownHosts host list with which the gateway starts; may be a missing node
  * @param settings of the decision engine
  * @param connectTimeoutMs limit for connecting to a host
- * @param idleMs time after which an idle host connection is closed
+ * @param hostIdleMs time after which an idle host connection is closed
  * @param maxOpenRequests number of requests that may be open at a time
  */
 record NodeConfig(String name, InetSocketAddress console, InetSocketAddress listen, InetSocketAddress discovery,
-        InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll, int sockets,
-        JsonNode known, Settings settings, double connectTimeoutMs, double idleMs, int maxOpenRequests) {
+        InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll, int maxDescriptors,
+        JsonNode knownHosts, Settings settings, double connectTimeoutMs, double hostIdleMs, int maxOpenRequests) {
     private static final int MAX_PORT = 65_535;
     private static final int HEX_RADIX = 16;
     private static final int DEFAULT_DESCRIPTORS = 1024;
@@ -57,7 +57,7 @@
     }
 
     /** Reads the content of a configuration file. */
-    static byte[] bytes(String file) throws BadConfig {
+    static byte[] readFile(String file) throws BadConfig {
         if (file == null || file.isEmpty()) {
             throw new BadConfig("environment variable NODE_CONFIG is empty or not set; it must name the configuration file");
         }
--- a/gateway/src/main/java/marlford/gateway/net/PeerLink.java
+++ b/gateway/src/main/java/marlford/gateway/net/PeerLink.java
@@ -21,7 +21,7 @@
  * Runs on the event loop, unless a method says otherwise.
  */
 @ChannelHandler.Sharable // reused for one channel after another
-final class PeerLink extends SimpleChannelInboundHandler<DatagramPacket> implements Node.Mail {
+final class PeerLink extends SimpleChannelInboundHandler<DatagramPacket> implements Node.PeerSender {
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final int ALL_PEERS = -1;
     private static final long BIND_RETRY_DELAY_MS = 100;
@@ -83,7 +83,7 @@
     }
 
     /** Returns whether the peer address is bound or a bind of it is retried. */
-    boolean started() {
+    boolean isStarted() {
         return channel != null;
     }
 
@@ -91,7 +91,7 @@
      * Returns since when no earlier process of this gateway can be running: two processes cannot bind the address to which the
      * peers send, and a process holds it until it ends or hands over to a new one. Infinite if that is not known.
      */
-    double aloneSince() {
+    double addressHeldSince() {
         return addressHeldSince;
     }
 
@@ -99,7 +99,7 @@
      * Returns whether a peer has sent a message since the start; a fleet without clients sends none at all. May be called from
      * any thread.
      */
-    boolean hasHeard() {
+    boolean hasReceivedMessage() {
         return messageReceived;
     }
 
@@ -119,7 +119,7 @@
         int length = packet.content().readableBytes();
         if (peer != null && length > 0 && length <= MAX_MESSAGE_BYTES) {
             messageReceived = true;
-            node.peerSaid(peer, ByteBufUtil.getBytes(packet.content()));
+            node.onPeerMessage(peer, ByteBufUtil.getBytes(packet.content()));
         }
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/RequestBodyStream.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestBodyStream.java
@@ -16,15 +16,15 @@
     private static final int MAX_BUFFERED_BYTES = 64 * 1024; // received and not yet forwarded
 
     /** A host connection that receives the body. */
-    interface Taker {
+    interface Receiver {
         /** Whether another part can be written now. */
-        boolean ready();
+        boolean isReady();
 
         /** Writes a part and takes ownership of it. */
-        void part(ByteBuf part);
+        void write(ByteBuf part);
 
         /** Called after the last part. */
-        void last();
+        void finish();
     }
 
     private final long length;
@@ -36,7 +36,7 @@
     private boolean confirmed; // the client was still connected after the last byte
     private boolean forwardingStarted; // at least one part was given to a host
     private boolean dropped; // no host needs the body any more
-    private Taker receiver;
+    private Receiver receiver;
 
     /**
      * @param length of the whole body in bytes, including the buffered part; negative when the client does not declare it
@@ -75,7 +75,7 @@
         }
         parts.add(part);
         bufferedBytes += part.readableBytes();
-        flow();
+        forward();
         if (isFull()) {
             onChange.run();
         }
@@ -101,18 +101,18 @@
         confirmed = true;
         parts.add(lastPart);
         lastPart = null;
-        flow();
+        forward();
         onChange.run();
     }
 
     /** Starts to forward the body to a host. */
-    void to(Taker host) {
+    void forwardTo(Receiver host) {
         receiver = host;
-        flow();
+        forward();
     }
 
     /** Stops forwarding to a host. If it has received a part, no other host can receive the whole body, and the rest is dropped. */
-    void leave(Taker host) {
+    void stopForwarding(Receiver host) {
         if (receiver == host) {
             receiver = null;
             if (forwardingStarted) {
@@ -122,19 +122,19 @@
     }
 
     /** Forwards as many parts as the host can take now. */
-    void flow() {
+    void forward() {
         boolean wasFull = isFull();
-        while (receiver != null && !parts.isEmpty() && receiver.ready()) {
+        while (receiver != null && !parts.isEmpty() && receiver.isReady()) {
             ByteBuf part = parts.poll();
             bufferedBytes -= part.readableBytes();
             forwardingStarted = true;
-            receiver.part(part);
+            receiver.write(part);
         }
         if (receiver != null && confirmed && parts.isEmpty()) {
-            Taker completed = receiver;
+            Receiver completed = receiver;
             receiver = null;
             forwardingStarted = true;
-            completed.last();
+            completed.finish();
         }
         if (wasFull && !isFull()) {
             onChange.run();
--- a/gateway/src/main/java/marlford/gateway/net/RequestParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestParser.java
@@ -19,16 +19,16 @@
  * with: impossible units, sets of gateways or times would corrupt the quota ledger of a customer that never sent them.
  */
 final class RequestParser {
-    static final AsciiString ID = AsciiString.cached("X-Trace-Id");
+    static final AsciiString TRACE_ID = AsciiString.cached("X-Trace-Id");
     static final AsciiString PLAN = AsciiString.cached("X-Plan");
     static final AsciiString CUSTOMER = AsciiString.cached("X-Customer");
-    static final AsciiString EXPIRES = AsciiString.cached("X-Expires-In-Ms");
+    static final AsciiString EXPIRES_IN_MS = AsciiString.cached("X-Expires-In-Ms");
     static final AsciiString QUOTA = AsciiString.cached("X-Quota");
     static final AsciiString SECOND_TRY = AsciiString.cached("X-Second-Try");
-    static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
+    static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
     /** Headers that may appear at most once in a request. */
-    static final List<AsciiString> SINGLE = List.of(HttpHeaderNames.HOST, ID, PLAN, CUSTOMER, EXPIRES, QUOTA, SECOND_TRY,
-            KEY);
+    static final List<AsciiString> SINGLE = List.of(HttpHeaderNames.HOST, TRACE_ID, PLAN, CUSTOMER, EXPIRES_IN_MS, QUOTA, SECOND_TRY,
+            IDEMPOTENCY_KEY);
 
     private static final double DELIVERY_MARGIN_MS = 20; // the answer must reach the client within its time limit
     private static final int HEX_RADIX = 16;
@@ -60,9 +60,9 @@
         HttpHeaders headers = message.headers();
         RequestClass requestClass = classes.get(firstPathSegment(message.uri()));
         String plan = headers.get(PLAN);
-        String id = headers.get(ID);
+        String id = headers.get(TRACE_ID);
         long customer = parseCustomer(headers.get(CUSTOMER));
-        double limitMs = parseNumber(headers.get(EXPIRES), false);
+        double limitMs = parseNumber(headers.get(EXPIRES_IN_MS), false);
         if (requestClass == null || !plans.containsKey(plan) || !isToken(id) || customer < 0 || limitMs <= 0
                 || !matchesClass(requestClass, message)) {
             return null;
@@ -90,7 +90,7 @@
                     && !message.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
         }
         return message.method().equals(HttpMethod.POST)
-                && (requestClass.effect() != Effect.KEYED || isToken(message.headers().get(KEY)));
+                && (requestClass.effect() != Effect.KEYED || isToken(message.headers().get(IDEMPOTENCY_KEY)));
     }
 
     private static boolean isToken(String text) {
--- a/gateway/src/main/java/marlford/gateway/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -221,7 +221,7 @@
             refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (bodyStream == null && bodyBytes > ClientServer.MAX_BODY) {
+        if (bodyStream == null && bodyBytes > ClientServer.MAX_BUFFERED_BODY_BYTES) {
             bodyStream = new RequestBodyStream(HttpUtil.getContentLength(head, -1L), updateReading);
             ByteBuf bufferedBody = body;
             body = Unpooled.EMPTY_BUFFER;
@@ -239,7 +239,7 @@
             ctx.fireUserEventTriggered(new BodyReceived(completedBody));
             return;
         }
-        body = joined(ctx, body, content.content());
+        body = joinBuffers(ctx, body, content.content());
         if (content instanceof LastHttpContent) {
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
                     head.uri(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
@@ -258,7 +258,7 @@
     }
 
     /** Joins two parts of a body without a copy. Takes ownership of the first part and retains the second. */
-    static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
+    static ByteBuf joinBuffers(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
         if (!part.isReadable()) {
             return body;
         }
--- a/gateway/src/main/java/marlford/gateway/net/RuntimeDirectory.java
+++ b/gateway/src/main/java/marlford/gateway/net/RuntimeDirectory.java
@@ -11,9 +11,9 @@
  * platforms several gateways may share the directory, and gateways of two deployments may have the same name.
  *
  * @param excludedHosts file that stores the hosts excluded by operators
- * @param successor socket on which the running process waits for its successor
+ * @param successorSocket socket on which the running process waits for its successor
  */
-record RuntimeDirectory(Path excludedHosts, Path successor) {
+record RuntimeDirectory(Path excludedHosts, Path successorSocket) {
     private static final int MAX_SOCKET_PATH_BYTES = 100; // slightly below the limit of the system
 
     /** Returns null when the platform provides no directory, or one whose path is too long for a socket. */
@@ -23,7 +23,7 @@
     }
 
     /** Returns the files of a process of an earlier version, whose names have no address; used only if the address is taken. */
-    static RuntimeDirectory before(String folder, String name) {
+    static RuntimeDirectory ofEarlierVersion(String folder, String name) {
         return under(folder, hex(name.getBytes(StandardCharsets.UTF_8)));
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/ServingGateway.java
+++ b/gateway/src/main/java/marlford/gateway/net/ServingGateway.java
@@ -13,10 +13,10 @@
     }
 
     /** Whether the settings allow probes. */
-    boolean mayProbe();
+    boolean allowsProbes();
 
     /** Passes the ids of all listed hosts, whatever their state, to the consumer. */
-    void listed(Consumer<Set<String>> consumer);
+    void listHosts(Consumer<Set<String>> consumer);
 
     /** Sends a health probe to a host; it ends within 250 ms. */
     void probe(String host, ProbeCallback callback);
@@ -26,5 +26,5 @@
      *
      * @param ageMs upper bound of the time since the probe was sent
      */
-    void evidence(String host, Outcome outcome, double tookMs, double ageMs);
+    void reportProbeResult(String host, Outcome outcome, double tookMs, double ageMs);
 }
--- a/gateway/src/main/java/marlford/gateway/net/SharedListFetch.java
+++ b/gateway/src/main/java/marlford/gateway/net/SharedListFetch.java
@@ -10,12 +10,12 @@
     /** No coordination: each gateway calls the agent at once. */
     SharedListFetch NONE = new SharedListFetch() {
         @Override
-        public void due(String agent, Consumer<Told> next) {
+        public void requestTurn(String agent, Consumer<FetchedList> next) {
             next.accept(null);
         }
 
         @Override
-        public void called(String agent, boolean answered, String wholeList) { }
+        public void reportResult(String agent, boolean answered, String wholeList) { }
     };
 
     /**
@@ -24,19 +24,19 @@
      * @param text as the agent sent it
      * @param ageMs upper bound of the time since the agent sent it, in milliseconds
      */
-    record Told(String text, double ageMs) { }
+    record FetchedList(String text, double ageMs) { }
 
     /**
      * Requests a turn to call an agent.
      *
      * @param next called once: with null if this gateway is to call the agent, or else with a list to use instead
      */
-    void due(String agent, Consumer<Told> next);
+    void requestTurn(String agent, Consumer<FetchedList> next);
 
     /**
-     * Reports the result of a call for which a turn was requested by {@link #due}.
+     * Reports the result of a call for which a turn was requested by {@link #requestTurn}.
      *
      * @param wholeList the agent's response if it sent its whole list; null if the call failed or it sent only changes
      */
-    void called(String agent, boolean answered, String wholeList);
+    void reportResult(String agent, boolean answered, String wholeList);
 }
--- a/gateway/src/main/java/marlford/gateway/net/StartRetry.java
+++ b/gateway/src/main/java/marlford/gateway/net/StartRetry.java
@@ -23,7 +23,7 @@
             try {
                 return step.call();
             } catch (Exception e) { // Netty rethrows the original cause, which may be a checked exception that is not declared
-                if (!LocalFailure.isWantOfResources(e) || System.nanoTime() > endNanos) {
+                if (!LocalFailure.isResourceExhaustion(e) || System.nanoTime() > endNanos) {
                     throw e;
                 }
                 Node.log("start: " + e.getMessage() + "; retrying, check the limits on file descriptors and memory");
--- a/gateway/src/main/java/marlford/gateway/net/StartupRehearsal.java
+++ b/gateway/src/main/java/marlford/gateway/net/StartupRehearsal.java
@@ -83,7 +83,7 @@
             for (String request : ADMIN_REQUESTS) {
                 exchange(console, request);
             }
-            Path successorSocket = RuntimeDirectory.in(folder.toString(), GATEWAY_NAME, address).successor();
+            Path successorSocket = RuntimeDirectory.in(folder.toString(), GATEWAY_NAME, address).successorSocket();
             Predecessor.find(successorSocket, TIME_LIMIT_MS).close(); // like a successor process that ends before the handover
         } finally {
             node.stop(); // otherwise its threads would keep the build running
--- a/gateway/src/main/java/marlford/gateway/net/Transport.java
+++ b/gateway/src/main/java/marlford/gateway/net/Transport.java
@@ -45,7 +45,7 @@
         }
 
         @Override
-        void claim(InetSocketAddress address) throws IOException {
+        void verifyUnused(InetSocketAddress address) throws IOException {
             try (Socket probe = new Socket()) { // bound but not listening, so it accepts no connections
                 probe.setReuseAddress(true);
                 probe.bind(address);
@@ -55,7 +55,7 @@
         }
 
         @Override
-        SocketAddress at(InetSocketAddress address) {
+        SocketAddress socketAddress(InetSocketAddress address) {
             return address;
         }
     };
@@ -73,10 +73,10 @@
         }
 
         @Override
-        void claim(InetSocketAddress address) { }
+        void verifyUnused(InetSocketAddress address) { }
 
         @Override
-        SocketAddress at(InetSocketAddress address) {
+        SocketAddress socketAddress(InetSocketAddress address) {
             return new LocalAddress(address.toString());
         }
     };
@@ -97,12 +97,12 @@
      *
      * @throws IOException if the address is in use
      */
-    abstract void claim(InetSocketAddress address) throws IOException;
+    abstract void verifyUnused(InetSocketAddress address) throws IOException;
 
     /** Returns whether no program listens on an address now. */
     final boolean isFree(InetSocketAddress address) {
         try {
-            claim(address);
+            verifyUnused(address);
             return true;
         } catch (IOException e) {
             return false;
@@ -110,7 +110,7 @@
     }
 
     /** Returns the form of an address that this transport connects and binds to. */
-    abstract SocketAddress at(InetSocketAddress address);
+    abstract SocketAddress socketAddress(InetSocketAddress address);
 
     /**
      * Returns whether the process can open some descriptors now, which connections to hosts and discovery need. Several are
--- a/gateway/src/main/java/marlford/gateway/net/UsageRecorder.java
+++ b/gateway/src/main/java/marlford/gateway/net/UsageRecorder.java
@@ -11,12 +11,12 @@
         public void admitted(long customer, double units) { }
 
         @Override
-        public void look() { }
+        public void onTick() { }
     };
 
     /** Records that a request was admitted and that its units are charged. */
     void admitted(long customer, double units);
 
     /** Called about once per second, so that the recorder can do periodic work. */
-    void look();
+    void onTick();
 }
--- a/gateway/src/main/java/marlford/gateway/net/WarmUp.java
+++ b/gateway/src/main/java/marlford/gateway/net/WarmUp.java
@@ -143,7 +143,7 @@
     /** Closes the clients, then the nodes, then the hosts, so that each side notices the end before its event loop stops. */
     private void close() throws InterruptedException {
         clients.close().await();
-        nodeGroup.submit(() -> nodes.forEach(Node::endAll)).await();
+        nodeGroup.submit(() -> nodes.forEach(Node::endAllRequests)).await();
         hosts.close().await();
         nodeGroup.submit(() -> { }).await();
     }
@@ -167,16 +167,16 @@
                 protected void initChannel(Channel ch) {
                     ch.pipeline().addLast(new SyntheticHost());
                 }
-            }).bind(TRANSPORT.at(address)).sync();
+            }).bind(TRANSPORT.socketAddress(address)).sync();
         }
         for (int index = 0; index < 2; index++) {
             nodes.add(new Node(configOf(index), DecisionEngine::new, TRANSPORT, nodeGroup));
         }
         for (Node node : nodes) {
             int index = node.config.settings().me();
-            node.usePeerSender((peer, data) -> nodeGroup.execute(() -> nodes.get(1 - index).peerSaid(index, data)));
+            node.usePeerSender((peer, data) -> nodeGroup.execute(() -> nodes.get(1 - index).onPeerMessage(index, data)));
             nodeGroup.submit(() -> node.listen()).sync().getNow().sync();
-            nodeGroup.execute(() -> node.hostsTold(ListKind.FULL, list));
+            nodeGroup.execute(() -> node.onHostsUpdated(ListKind.FULL, list));
         }
         remoteGroup.execute(() -> {
             for (int i = 0; i < CLIENTS; i++) {
@@ -196,8 +196,8 @@
                 sharing.peerPrice(), sharing.probePrice(), sharing.crossZonePrice());
         Settings settings = new Settings(base.seed(), index, largeTier ? base.gateways() : 2, base.zone(), false, base.classes(),
                 base.plans(), base.reportNames(), base.limits(), base.rules(), unlimitedSharing);
-        return new NodeConfig(config.name(), null, address(index), null, null, List.of(), null, config.sockets(),
-                MissingNode.getInstance(), settings, config.connectTimeoutMs(), config.idleMs(), config.maxOpenRequests());
+        return new NodeConfig(config.name(), null, address(index), null, null, List.of(), null, config.maxDescriptors(),
+                MissingNode.getInstance(), settings, config.connectTimeoutMs(), config.hostIdleMs(), config.maxOpenRequests());
     }
 
     private void connect() {
@@ -206,7 +206,7 @@
             protected void initChannel(Channel ch) {
                 ch.pipeline().addLast(new SyntheticClient());
             }
-        }).connect(TRANSPORT.at(address(0)));
+        }).connect(TRANSPORT.socketAddress(address(0)));
     }
 
     /**
@@ -278,12 +278,12 @@
         int customer = number % CUSTOMERS;
         List<Plan> plans = config.settings().plans();
         String head = (repeatable ? "GET /" : "POST /") + requestClass.name() + "/warm HTTP/1.1\r\nHost: warm\r\n"
-                + RequestParser.ID + ": " + number + "\r\n"
+                + RequestParser.TRACE_ID + ": " + number + "\r\n"
                 + RequestParser.PLAN + ": " + plans.get(customer % plans.size()).name() + "\r\n"
                 + RequestParser.CUSTOMER + ": " + HEX.toHexDigits((long) customer) + "\r\n"
-                + RequestParser.EXPIRES + ": " + (int) requestClass.deadlineMs() + "\r\n"
+                + RequestParser.EXPIRES_IN_MS + ": " + (int) requestClass.deadlineMs() + "\r\n"
                 + RequestParser.QUOTA + ": units=1,spread=" + (1 + customer % 2) + ",first=0\r\n"
-                + RequestParser.KEY + ": " + number + "\r\nContent-Length: " + (repeatable ? 0 : BODY_BYTES) + "\r\n\r\n";
+                + RequestParser.IDEMPOTENCY_KEY + ": " + number + "\r\nContent-Length: " + (repeatable ? 0 : BODY_BYTES) + "\r\n\r\n";
         return message(head, repeatable ? 0 : BODY_BYTES);
     }
 
--- a/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
@@ -97,7 +97,7 @@
      * @return false if the other process has ended meanwhile
      * @throws IOException if it is running and does not hand over
      */
-    public boolean take(long waitMs) throws IOException, InterruptedException {
+    public boolean takeOver(long waitMs) throws IOException, InterruptedException {
         try {
             handover.send(Successor.TAKE);
         } catch (IOException e) {
@@ -115,7 +115,7 @@
     }
 
     /** Returns whether the other process was sending its clients away when it handed over. */
-    public boolean away() {
+    public boolean wasQuiesced() {
         return quiesced;
     }
 
@@ -124,7 +124,7 @@
      *
      * @param waitMs how long the other process may take to accept the connections in its queue
      */
-    public boolean serving(long waitMs) throws InterruptedException {
+    public boolean reportServing(long waitMs) throws InterruptedException {
         try {
             handover.send(Successor.SERVING);
         } catch (IOException e) {
--- a/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
@@ -32,25 +32,25 @@
     static final long PROBATION_MS = 10_000;
 
     /** What the running process does at the steps of an upgrade. Called on one thread, in this order; each call blocks until done. */
-    public interface Place {
+    public interface ServingProcess {
         /**
          * Hands the communication with peers and the accounting of quotas over to the new process. Returns whether this
          * process is sending its clients away.
          */
-        boolean release() throws InterruptedException;
+        boolean handOver() throws InterruptedException;
 
         /** Stops accepting clients, as the new process accepts them. */
-        void leave() throws InterruptedException;
+        void stopAccepting() throws InterruptedException;
 
-        /** The new process has ended: restores the state before {@link #release}, except for quota that has refilled since. */
-        void takeBack() throws InterruptedException;
+        /** The new process has ended: restores the state before {@link #handOver}, except for quota that has refilled since. */
+        void resume() throws InterruptedException;
 
         /** The new process has served for long enough; this process may end. */
-        void end();
+        void shutDown();
     }
 
     private final Path path;
-    private final Place servingProcess;
+    private final ServingProcess servingProcess;
     private final Consumer<String> log;
     private final long probationMs;
     private ServerSocketChannel listener;
@@ -62,12 +62,12 @@
      * @param path of the socket; an existing file is replaced
      * @param log receives one line for each step and for each failure
      */
-    public Successor(Path path, Place servingProcess, Consumer<String> log) {
+    public Successor(Path path, ServingProcess servingProcess, Consumer<String> log) {
         this(path, servingProcess, log, PROBATION_MS);
     }
 
     /** As above, with a probation time in milliseconds. */
-    Successor(Path path, Place servingProcess, Consumer<String> log, long probationMs) {
+    Successor(Path path, ServingProcess servingProcess, Consumer<String> log, long probationMs) {
         this.probationMs = probationMs;
         this.path = path;
         this.servingProcess = servingProcess;
@@ -148,12 +148,12 @@
             log.accept("upgrade: the new process ended before it took over, or took too long; this process continues to serve");
             return;
         }
-        boolean quiesced = servingProcess.release();
+        boolean quiesced = servingProcess.handOver();
         boolean stoppedAccepting = false;
         try {
             handover.send(quiesced ? TAKEN_AWAY : TAKEN);
             if (SERVING.equals(handover.receive(SERVING_TIMEOUT_MS))) {
-                servingProcess.leave();
+                servingProcess.stopAccepting();
                 stoppedAccepting = true;
                 handover.send(LEFT);
                 log.accept("upgrade: the new process serves");
@@ -163,11 +163,11 @@
             log.accept("upgrade: connection to the new process failed: " + e);
         }
         if (stoppedAccepting && !handover.isEnded()) {
-            servingProcess.end();
+            servingProcess.shutDown();
         } else {
             log.accept("upgrade: the new process " + (stoppedAccepting ? "has ended" : "did not come to serve")
                     + ", the place is taken back; this process continues to serve");
-            servingProcess.takeBack();
+            servingProcess.resume();
             bind(); // the new process may have replaced the socket file
         }
     }
--- a/gateway/src/test/java/marlford/gateway/net/ClientReadingTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ClientReadingTest.java
@@ -47,8 +47,8 @@
         "X-Trace-Id: other\r\nContent-Length: 0\r\n\r\n", "no colon here\r\nContent-Length: 0\r\n\r\n",
         "Content-Length : 3\r\n\r\nabc"})
     void aRequestOfUncertainEndIsRefusedAndItsConnectionClosed(String rest) throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host)).send(ORDER + rest + INNER);
+        Server host = startHost(SocketTest::echo);
+        Client c = connectClient(startNodeWithHosts(host)).send(ORDER + rest + INNER);
         Message answer = c.receive();
         assertEquals(400, answer.status());
         assertEquals("close", answer.header("Connection"));
@@ -60,8 +60,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 28\r\n\r\n" + INNER, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"})
     void aGetWithABodyDoesNotGoOn(String rest) throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
+        Server host = startHost(SocketTest::echo);
+        Client c = connectClient(startNodeWithHosts(host));
         String plain = view("v", Sockets.PATIENCE_MS);
         assertEquals(400, c.send(plain.substring(0, plain.length() - 2) + rest).receive().status());
         assertEquals(200, c.send(plain).receive().status());
@@ -76,18 +76,18 @@
         "00000000b4|00000002b4", "In-Ms: 1000|In-Ms: 1e3", "In-Ms: 1000|In-Ms: -5", "In-Ms: 1000|In-Ms: 0",
         "In-Ms: 1000|In-Ms: 99999999999", "X-Trace-Id: v|X-Trace-Id: a b", "/view/|view/", "HTTP/1.1|HTTP/3.7"})
     void whatCantBeIsNotCounted(String good, String bad) throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         String plain = view("v", 1000);
         assertTrue(plain.contains(good));
-        assertEquals(400, client(nodeBefore(host)).send(plain.replace(good, bad)).receive().status());
+        assertEquals(400, connectClient(startNodeWithHosts(host)).send(plain.replace(good, bad)).receive().status());
         assertEquals(List.of(), host.asked);
     }
 
     /** What its class allows bounds the time that is told to the host, whatever the client says. */
     @Test
     void noRequestWaitsLongerThanItsClassDoes() throws Exception {
-        Server host = host(SocketTest::echo);
-        assertEquals(200, client(nodeBefore(host)).send(view("v", 999_999_999)).receive().status());
+        Server host = startHost(SocketTest::echo);
+        assertEquals(200, connectClient(startNodeWithHosts(host)).send(view("v", 999_999_999)).receive().status());
         assertTrue(Integer.parseInt(host.next().header("X-Expires-In-Ms")) <= 60_000);
     }
 
@@ -95,14 +95,14 @@
     @Test
     void anIdThatIsOpenIsTurnedAway() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             told.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
-        Client first = client(node).send(view("same", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(host);
+        Client first = connectClient(node).send(view("same", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
-        assertEquals(400, client(node).send(view("same", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(400, connectClient(node).send(view("same", Sockets.PATIENCE_MS)).receive().status());
         told.countDown();
         assertEquals("for same ", first.receive().text());
         assertEquals(1, host.asked.size());
@@ -114,11 +114,11 @@
     @ValueSource(strings = {"Content-Length: 60000000\r\n\r\n", "Content-Length: 60000000\r\nExpect: 100-continue\r\n\r\n"})
     void aBodyTooLongIsRefusedInItsTurn(String rest) throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             sent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Client c = client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS) + ORDER + rest);
+        Client c = connectClient(startNodeWithHosts(host)).send(view("v", Sockets.PATIENCE_MS) + ORDER + rest);
         assertNotNull(host.next());
         sent.countDown();
         assertEquals("for v ", c.receive().text());
@@ -131,14 +131,14 @@
     @Test
     void aBodyOfManyChunksEndsItsConnectionOnceItIsTooLong() throws Exception {
         CountDownLatch cut = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             try {
                 LongAnswersTest.chunks(s.getInputStream());
             } catch (IOException | RuntimeException e) {
                 cut.countDown();
             }
         });
-        Client c = client(nodeBefore(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
+        Client c = connectClient(startNodeWithHosts(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
         String chunk = "10000\r\n" + "x".repeat(0x10000) + "\r\n";
         assertThrows(IOException.class, () -> {
             for (int i = 0; i < 100 * 16; i++) { // twice what may be
@@ -151,7 +151,7 @@
 
     @Test
     void aClientThatAsksIsToldToSendItsBody() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        Client c = connectClient(startNodeWithHosts(startHost(SocketTest::echo)));
         c.send(ORDER + "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(100, c.receive().status());
         assertEquals("for o body", c.send("body").receive().text());
@@ -162,9 +162,9 @@
     @ValueSource(strings = {"", "GET /view/x HT", "GET /view/x HTTP/1.1\r\n", "GET /view/x HTTP/1.1\r\nX-A: b\r\nX-",
         "POST /order/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
     void anUnfinishedRequestIsGivenUp(String half) throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
-        Client c = client(node).send(half);
-        Client used = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
+        Client c = connectClient(node).send(half);
+        Client used = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
         assertEquals(200, used.receive().status());
         used.send(half);
         Message answer = c.receive();
@@ -176,15 +176,15 @@
 
     @Test
     void aHeadWithoutEndIsRefused() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        Client c = connectClient(startNodeWithHosts(startHost(SocketTest::echo)));
         c.send("GET /view/x HTTP/1.1\r\n" + "X-A: bcdefghijklmnopqrstuvwxyz\r\n".repeat(300));
         assertEquals(431, c.receive().status());
     }
 
     /** A node with places for 25 clients. */
     private Node crampedNode() throws IOException {
-        registry = kept(new Registry(list(1, true, entry("h0", host(SocketTest::echo).address(), "ready"))));
-        return running(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
+        return startNode(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
     }
 
@@ -194,12 +194,12 @@
         Node node = crampedNode();
         List<Client> regulars = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            regulars.add(client(node));
+            regulars.add(connectClient(node));
             assertEquals(200, regulars.get(i).send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
         }
         List<Client> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            silent.add(client(node));
+            silent.add(connectClient(node));
         }
         for (int i = 0; i < 8; i++) {
             assertEquals(200, regulars.get(i).send(view("s" + i, Sockets.PATIENCE_MS)).receive().status());
@@ -213,14 +213,14 @@
     @Test
     void aCrowdThatAsksOnceTakesNoRegularsPlace() throws Exception {
         Node node = crampedNode();
-        Client regular = client(node);
+        Client regular = connectClient(node);
         for (int i = 0; i < 2; i++) {
             assertEquals(200, regular.send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
         }
         for (int i = 0; i < 60; i++) {
-            Client once = client(node);
+            Client once = connectClient(node);
             assertEquals(200, once.send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
-            assertEquals(200, client(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, connectClient(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
             if (i % 20 == 19) { // more came in between than fit
                 assertEquals("for p" + i + " ", regular.send(view("p" + i, Sockets.PATIENCE_MS)).receive().text());
             }
@@ -232,13 +232,13 @@
     void inAFullHouseNewcomersAreHeard() throws Exception {
         Node node = crampedNode();
         for (int i = 0; i < 40; i++) {
-            assertEquals(200, client(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, connectClient(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
         }
         List<Client> newcomers = new ArrayList<>();
         for (int i = 0; i < 5; i++) { // less than a quarter of the 25 that fit
-            newcomers.add(client(node));
+            newcomers.add(connectClient(node));
         }
-        assertEquals(200, client(node).send(view("last", Sockets.PATIENCE_MS)).receive().status()); // all are taken in
+        assertEquals(200, connectClient(node).send(view("last", Sockets.PATIENCE_MS)).receive().status()); // all are taken in
         for (int i = 0; i < newcomers.size(); i++) {
             assertEquals("for n" + i + " ", newcomers.get(i).send(view("n" + i, Sockets.PATIENCE_MS)).receive().text());
         }
@@ -255,7 +255,7 @@
     /** A flood of bad requests is answered whole, but read only now and then. */
     @Test
     void badRequestsAreAllAnswered() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        Client c = connectClient(startNodeWithHosts(startHost(SocketTest::echo)));
         String bad = view("v", 1000).replace("units=1", "units=x");
         c.send(bad.repeat(40));
         for (int i = 0; i < 40; i++) {
@@ -268,8 +268,8 @@
 
     @Test
     void aKeyedRequestKeepsItsBody() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
+        Server host = startHost(SocketTest::echo);
+        Client c = connectClient(startNodeWithHosts(host));
         c.send(ORDER + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
         assertEquals("for o abcde", c.receive().text());
         assertEquals("5", host.next().header("Content-Length"));
--- a/gateway/src/test/java/marlford/gateway/net/ConsoleTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ConsoleTest.java
@@ -29,7 +29,7 @@
 class ConsoleTest extends SocketTest {
     /** Connects to the console. */
     private Socket connect(Node node) throws IOException {
-        Socket socket = kept(new Socket(node.console().getAddress(), node.console().getPort()));
+        Socket socket = closeAfterTest(new Socket(node.consoleAddress().getAddress(), node.consoleAddress().getPort()));
         socket.setSoTimeout(Sockets.PATIENCE_MS);
         return socket;
     }
@@ -74,9 +74,9 @@
 
     @Test
     void aCordonedHostGetsNoRequestsUntilItIsUncordoned() throws Exception {
-        Server one = host(SocketTest::echo);
-        Server two = host(SocketTest::echo);
-        Node node = nodeBefore(one, two);
+        Server one = startHost(SocketTest::echo);
+        Server two = startHost(SocketTest::echo);
+        Node node = startNodeWithHosts(one, two);
         assertEquals(200, post(node, "/admin/cordon", "h0"));
         assertEquals(200, post(node, "/admin/cordon", "h0")); // a repeated cordon is undone by one uncordon
         awaitCommands(node);
@@ -85,9 +85,9 @@
         }
         assertEquals(List.of(), one.asked);
         awaitMetric(node, "svc.cluster_unhealthy", 1);
-        awaitWatches(1);
+        awaitDiscoveryWatches(1);
         registry.news.add(list(2, true, entry("h0", one.address(), "ready"), entry("h1", two.address(), "ready")));
-        awaitWatches(2);
+        awaitDiscoveryWatches(2);
         for (int i = 0; i < 20; i++) {
             assertEquals(200, sendRequest(node, "still" + i));
         }
@@ -106,11 +106,11 @@
     /** A cordoned host that restarts may be missing from the list for a while; it can be uncordoned all the same. */
     @Test
     void aCordonedHostThatIsNoLongerListedCanBeUncordoned() throws Exception {
-        Server one = host(SocketTest::echo);
-        Node node = nodeBefore(one);
+        Server one = startHost(SocketTest::echo);
+        Node node = startNodeWithHosts(one);
         assertEquals(200, post(node, "/admin/cordon", "h0"));
         awaitMetric(node, "svc.cluster_size", 1);
-        awaitWatches(1);
+        awaitDiscoveryWatches(1);
         registry.news.add(list(2, true));
         awaitMetric(node, "svc.cluster_size", 0);
         assertEquals(200, post(node, "/admin/uncordon", "h0"));
@@ -121,14 +121,14 @@
     @ValueSource(strings = {"POST /admin/cordon nobody", "POST /admin/uncordon nobody", "POST /admin/cordon ",
         "POST /admin/unknown h0", "GET /admin/cordon h0", "POST /admin/stats h0", "GET / h0"})
     void unknownHostsAndCommandsAreNotFound(String command) throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         String[] call = command.split(" ", -1);
         assertEquals(404, call(node, call[0], call[1], call[2]).status());
     }
 
     @Test
     void invalidAndTooLargeRequestsAreRejected() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         Socket socket = connect(node);
         socket.getOutputStream().write(bytes("POST /admin/cordon HTTP/1.1\r\nContent-Length: x\r\n\r\n"));
         Message answer = Sockets.read(socket.getInputStream());
@@ -139,7 +139,7 @@
     @Test
     void theMetricsCountTheResultOfEachRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Server host = host((message, socket) -> {
+        Server host = startHost((message, socket) -> {
             if (message.start().contains("slow")) {
                 release.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
@@ -149,15 +149,15 @@
                 echo(message, socket);
             }
         });
-        Node node = nodeBefore(host);
+        Node node = startNodeWithHosts(host);
         assertEquals(200, sendRequest(node, "a"));
         assertEquals(200, sendRequest(node, "b"));
-        assertEquals(502, client(node).send(order("o", "body")).receive().status());
+        assertEquals(502, connectClient(node).send(order("o", "body")).receive().status());
         String tinyPlanRequest = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny")
                 .replace("b4d65521", "b4d65522");
-        assertEquals(200, client(node).send(tinyPlanRequest).receive().status());
-        assertEquals(429, client(node).send(tinyPlanRequest.replace("t?", "u?")).receive().status());
-        Client slow = client(node).send(view("slow", Sockets.PATIENCE_MS));
+        assertEquals(200, connectClient(node).send(tinyPlanRequest).receive().status());
+        assertEquals(429, connectClient(node).send(tinyPlanRequest.replace("t?", "u?")).receive().status());
+        Client slow = connectClient(node).send(view("slow", Sockets.PATIENCE_MS));
         awaitMetric(node, "svc.current", 1);
         Map<String, Long> all = metrics(node);
         assertEquals(3, all.get("svc.answered.view"));
@@ -173,7 +173,7 @@
         release.countDown();
         assertEquals(200, slow.receive().status());
         awaitMetric(node, "svc.current", 0);
-        Client disconnecting = client(node).send(view("slow2", Sockets.PATIENCE_MS));
+        Client disconnecting = connectClient(node).send(view("slow2", Sockets.PATIENCE_MS));
         disconnecting.close();
         awaitMetric(node, "svc.current", 0);
     }
@@ -181,7 +181,7 @@
     /** Operators must get a response within a second under any load, even if the event loop that serves clients is blocked. */
     @Test
     void theConsoleRespondsWhileTheEventLoopIsBlocked() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         CountDownLatch unblock = new CountDownLatch(1);
         node.loop.execute(() -> {
             try {
@@ -201,7 +201,7 @@
 
     @Test
     void connectionsWithoutARequestDoNotBlockTheConsole() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             Socket socket = connect(node);
@@ -216,26 +216,26 @@
     @Test
     void quiesceClosesConnectionsWithoutLosingRequestsAndResumeServesAgain() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Server host = host((message, socket) -> {
+        Server host = startHost((message, socket) -> {
             if (message.start().contains("held")) {
                 release.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
             echo(message, socket);
         });
-        Node node = nodeBefore(host);
-        Client busy = client(node).send(view("held", Sockets.PATIENCE_MS));
-        Client used = client(node).send(view("used", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(host);
+        Client busy = connectClient(node).send(view("held", Sockets.PATIENCE_MS));
+        Client used = connectClient(node).send(view("used", Sockets.PATIENCE_MS));
         assertEquals(200, used.receive().status());
-        Client silent = client(node);
+        Client silent = connectClient(node);
         assertNotNull(host.next());
         assertEquals(200, post(node, "/admin/quiesce", ""));
         assertEquals(200, post(node, "/admin/quiesce", ""));
         awaitCommands(node);
         assertEquals(503, call(node, "GET", "/admin/health", "").status());
-        Message refused = client(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive();
+        Message refused = connectClient(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive();
         assertEquals(503, refused.status());
         assertEquals("close", refused.header("Connection"));
-        Client late = client(node).send(view("late", Sockets.PATIENCE_MS));
+        Client late = connectClient(node).send(view("late", Sockets.PATIENCE_MS));
         assertEquals("close", late.receive().header("Connection"));
         assertNull(late.receive());
         assertNull(used.receive());
@@ -248,7 +248,7 @@
         assertEquals(200, post(node, "/admin/resume", ""));
         awaitCommands(node);
         assertEquals(200, call(node, "GET", "/admin/health", "").status());
-        Client again = client(node).send(view("again", Sockets.PATIENCE_MS));
+        Client again = connectClient(node).send(view("again", Sockets.PATIENCE_MS));
         assertNull(again.receive().header("Connection"));
         assertEquals(200, again.send(view("again2", Sockets.PATIENCE_MS)).receive().status());
     }
@@ -256,7 +256,7 @@
     /** A resume does not cancel a shutdown. */
     @Test
     void resumeDoesNotCancelAShutdown() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         node.loop.submit(node::drain).sync();
         assertEquals(200, post(node, "/admin/resume", ""));
         awaitCommands(node);
@@ -267,7 +267,7 @@
     /** A resume does not cancel a shutdown while connected clients are still served. */
     @Test
     void resumeDoesNotCancelADelayedShutdown() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         node.loop.submit(() -> node.drainAfter(Sockets.PATIENCE_MS)).sync();
         assertEquals(200, post(node, "/admin/resume", ""));
         awaitCommands(node);
--- a/gateway/src/test/java/marlford/gateway/net/CrossingsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/CrossingsTest.java
@@ -39,14 +39,14 @@
 class CrossingsTest extends SocketTest {
     /** A host that notes on which connection each request comes. */
     private Server noting(List<Socket> used) throws IOException {
-        return host((m, s) -> {
+        return startHost((m, s) -> {
             used.add(s);
             echo(m, s);
         });
     }
 
     private static boolean known(Node node, String id) throws Exception {
-        return node.loop.submit(() -> node.knows(id)).get();
+        return node.loop.submit(() -> node.isRequestOpen(id)).get();
     }
 
     // ---- the end of an attempt, and what follows from it
@@ -134,7 +134,7 @@
         CountDownLatch first = new CountDownLatch(1);
         byte[] answer = ok("in time");
         int split = begun ? 10 : 0;
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             s.getOutputStream().write(answer, 0, split);
             first.countDown();
             held.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -142,10 +142,10 @@
             answered.countDown();
         });
         AtomicReference<Outcome> ended = new AtomicReference<>();
-        Node node = nodeBefore(host, act -> new Late(act, held, answered, ended));
-        Client waits = client(node).send(view("a", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(host, act -> new Late(act, held, answered, ended));
+        Client waits = connectClient(node).send(view("a", Sockets.PATIENCE_MS));
         assertTrue(first.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        Client holds = client(node).send(view("b", Sockets.PATIENCE_MS));
+        Client holds = connectClient(node).send(view("b", Sockets.PATIENCE_MS));
         assertEquals(200, waits.receive().status());
         Sockets.await(() -> ended.get() != null, "the module is told, just after the client is");
         assertEquals(Outcome.OK, ended.get());
@@ -163,12 +163,12 @@
     @ValueSource(strings = {"HTTP/1.1 twohundred\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nno length",
         "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nand no more", "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n"})
     void anAttemptsConnectionEndsBeforeTheModuleHearsOfItsEnd(String spoilt) throws Exception {
-        Server host = host((m, s) -> s.getOutputStream().write(bytes(spoilt)));
+        Server host = startHost((m, s) -> s.getOutputStream().write(bytes(spoilt)));
         AtomicReference<Outcome> ended = new AtomicReference<>();
         AtomicReference<Boolean> closedBefore = new AtomicReference<>();
-        Node node = nodeBefore(host, act -> new Holding(act, host, ended, closedBefore));
+        Node node = startNodeWithHosts(host, act -> new Holding(act, host, ended, closedBefore));
         // An answer that is too long goes nowhere with a client of before chunks and lengths.
-        assertEquals(502, client(node).send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(502, connectClient(node).send(view("v", Sockets.PATIENCE_MS)).receive().status());
         assertEquals(Outcome.SPOILT, ended.get());
         assertTrue(closedBefore.get(), "the first attempt was still out");
     }
@@ -179,17 +179,17 @@
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "ready"})
     void whatWasComingUpForAHostThatGoesLeavesForAnother(String state) throws Exception {
-        Door late = kept(new Door());
-        Server other = host(SocketTest::echo);
-        Node node = nodeWith(entry("h0", late.address(), "ready"));
-        awaitWatches(1);
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Door late = closeAfterTest(new Door());
+        Server other = startHost(SocketTest::echo);
+        Node node = startNodeWithEntries(entry("h0", late.address(), "ready"));
+        awaitDiscoveryWatches(1);
+        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
         Sockets.await(() -> known(node, "v"), "the request is taken");
         String told = state.equals("ready") // in another life, elsewhere
                 ? entry("h0", other.address(), state).replace("\"started_ms\":0", "\"started_ms\":1")
                 : entry("h0", late.address(), state);
         registry.news.add(list(2, false, told, entry("h1", other.address(), "ready")));
-        awaitWatches(2);
+        awaitDiscoveryWatches(2);
         late.open();
         assertEquals("for v ", c.receive().text());
         assertEquals(List.of(), late.asked);
@@ -200,17 +200,17 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRequestWhoseClientLeavesWhileItsConnectionComesUpIsNotSentOn(boolean reset) throws Exception {
-        Door late = kept(new Door());
-        registry = kept(new Registry(list(1, true, entry("h0", late.address(), "ready"))));
-        Node node = running(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        Door late = closeAfterTest(new Door());
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", late.address(), "ready"))));
+        Node node = startNode(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"cancel\": true", "\"cancel\": false"));
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
         Sockets.await(() -> known(node, "v"), "the request is taken");
         if (reset) {
             c.socket.setSoLinger(true, 0);
         }
         c.close();
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "the gateway has seen the client leave");
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway has seen the client leave");
         late.open();
         Sockets.await(() -> !known(node, "v"), "its attempt is over");
         assertEquals(List.of(), late.asked);
@@ -223,16 +223,16 @@
     @ValueSource(booleans = {false, true})
     void heldRequestsWhoseClientsLeftAreNotSentOn(boolean reset) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").startsWith("first")) {
                 left.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        Node node = startNodeWithHosts(host);
         List<Client> first = new ArrayList<>();
         for (int i = 0; i < 40; i++) { // more than the places of one gateway before one host
-            first.add(client(node).send(view("first" + i, Sockets.PATIENCE_MS)));
+            first.add(connectClient(node).send(view("first" + i, Sockets.PATIENCE_MS)));
         }
         for (int i = 0; i < 40; i++) {
             String id = "first" + i;
@@ -240,7 +240,7 @@
         }
         List<Client> leaving = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            leaving.add(client(node).send(view("left" + i, Sockets.PATIENCE_MS)));
+            leaving.add(connectClient(node).send(view("left" + i, Sockets.PATIENCE_MS)));
         }
         Sockets.await(() -> known(node, "left199"), "the last of them is held");
         for (Client c : leaving) {
@@ -267,11 +267,11 @@
     void aConnectionThatWasIdleForTooLongIsNotUsedAgain() throws Exception {
         List<Socket> used = new ArrayList<>();
         Server host = noting(used);
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         MovedClock clock = new MovedClock();
-        Node node = of(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        Node node = startNodeWithClock(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"connect_timeout_ms\": 5000", "\"connect_timeout_ms\": 5000, \"conn_idle_ms\": 20000"), clock);
-        Client c = client(node);
+        Client c = connectClient(node);
         assertEquals(200, c.send(view("a", LONG_MS)).receive().status());
         node.loop.submit(() -> {
             clock.move(13_000); // in one turn of the loop with the request that follows: no sweep falls between
@@ -290,7 +290,7 @@
     @Test
     void aSecondAnswerThatCrossesTheNextRequestReachesNobody() throws Exception {
         List<Socket> used = new ArrayList<>();
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (used.contains(s)) { // as if it had left just before this request came
                 s.getOutputStream().write(ok("the answer of before, once more"));
             }
@@ -298,11 +298,11 @@
             echo(m, s);
         });
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(host, clock);
-        Client c = client(node);
+        Node node = startNodeWithHosts(host, clock);
+        Client c = connectClient(node);
         for (int i = 0; i < 5; i++) {
             assertEquals("for v" + i + " ", c.send(view("v" + i, LONG_MS)).receive().text());
-            node.loop.submit(() -> clock.move(HostClient.REST_MS / 10)).sync();
+            node.loop.submit(() -> clock.move(HostClient.MIN_REST_MS / 10)).sync();
         }
         assertEquals(5, used.size());
     }
@@ -313,11 +313,11 @@
         List<Socket> used = new ArrayList<>();
         Server host = noting(used);
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(host, clock);
-        Client c = client(node);
+        Node node = startNodeWithHosts(host, clock);
+        Client c = connectClient(node);
         for (int i = 0; i < 3; i++) {
             assertEquals(200, c.send(view("v" + i, LONG_MS)).receive().status());
-            node.loop.submit(() -> clock.move(HostClient.REST_MS + 1)).sync(); // behind the turn in which it came to rest
+            node.loop.submit(() -> clock.move(HostClient.MIN_REST_MS + 1)).sync(); // behind the turn in which it came to rest
         }
         assertEquals(1, used.stream().distinct().count());
     }
@@ -329,21 +329,21 @@
     @ValueSource(ints = {2, 16, 17, 40, 60})
     void requestsSentAheadByAClientThatLeftAreNotSentOn(int many) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             left.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
+        Node node = startNodeWithHosts(host);
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < many; i++) {
             all.append(view("p" + i, Sockets.PATIENCE_MS));
         }
-        Client c = client(node).send(all.toString());
+        Client c = connectClient(node).send(all.toString());
         assertNotNull(host.next());
         c.close();
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "the gateway has seen the client leave");
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway has seen the client leave");
         left.countDown();
-        assertEquals("for w ", client(node).send(view("w", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for w ", connectClient(node).send(view("w", Sockets.PATIENCE_MS)).receive().text());
         assertEquals(2, host.asked.size());
     }
 
@@ -354,7 +354,7 @@
         Socket s = new Socket();
         s.setReceiveBufferSize(4096);
         s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()));
-        return kept(new Client(s));
+        return closeAfterTest(new Client(s));
     }
 
     /** {@code v}, as the last of its connection, and as many others behind it as the gateway does not read. */
@@ -373,8 +373,8 @@
     @Test
     void theLastAnswerIsWholeThoughItsClientSentMoreThanIsRead() throws Exception {
         String text = "x".repeat(60_000);
-        Server host = host((m, s) -> s.getOutputStream().write(ok(text)));
-        Node node = nodeBefore(host);
+        Server host = startHost((m, s) -> s.getOutputStream().write(ok(text)));
+        Node node = startNodeWithHosts(host);
         Client c = narrow(node).send(lastAndMore(1000));
         assertNotNull(host.next());
         Sockets.await(() -> !known(node, "v"), "its answer is on its way");
@@ -391,11 +391,11 @@
     @ValueSource(booleans = {false, true})
     void aClientThatStaysAfterItsLastAnswerIsEnded(boolean sends) throws Exception {
         MovedClock clock = new MovedClock();
-        Node node = nodeBefore(host(SocketTest::echo), clock);
-        Client c = client(node).send(lastAndMore(0));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo), clock);
+        Client c = connectClient(node).send(lastAndMore(0));
         assertEquals("for v ", c.receive().text());
         assertNull(c.receive());
-        assertEquals(1, (int) node.loop.submit(node::connections).get());
+        assertEquals(1, (int) node.loop.submit(node::connectionCount).get());
         if (sends) {
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 100; i++) {
@@ -405,7 +405,7 @@
         } else {
             clock.move(LONG_MS / 10.0);
         }
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "the gateway ends it");
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway ends it");
     }
 
     // ---- the end of a process
@@ -413,11 +413,11 @@
     /** A request that comes when all has been given up once waited for its time, which the process did not outlive. */
     @Test
     void whatComesAfterTheEndOfADrainIsAnsweredAtOnce() throws Exception {
-        Server host = host(SocketTest::echo);
-        Node node = nodeBefore(host);
-        Client c = client(node);
+        Server host = startHost(SocketTest::echo);
+        Node node = startNodeWithHosts(host);
+        Client c = connectClient(node);
         assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        node.loop.submit(node::endAll).sync();
+        node.loop.submit(node::endAllRequests).sync();
         Message answer = c.send(view("b", Sockets.PATIENCE_MS)).receive();
         assertEquals(503, answer.status());
         assertNotNull(answer.header("Retry-After"));
@@ -427,15 +427,15 @@
     /** What was held and never sent is another gateway's to try: it was once answered as failed. */
     @Test
     void whatIsStillHeldAtTheEndIsRefusedWithATimeToComeBack() throws Exception {
-        Server host = host((m, s) -> { });
-        Node node = nodeBefore(host);
+        Server host = startHost((m, s) -> { });
+        Node node = startNodeWithHosts(host);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            clients.add(client(node).send(view("v" + i, Sockets.PATIENCE_MS)));
+            clients.add(connectClient(node).send(view("v" + i, Sockets.PATIENCE_MS)));
             String id = "v" + i;
             Sockets.await(() -> known(node, id), id);
         }
-        node.loop.submit(node::endAll).sync();
+        node.loop.submit(node::endAllRequests).sync();
         for (Client c : clients) {
             Message answer = c.receive();
             assertEquals(429, answer.status());
@@ -447,33 +447,33 @@
     /** Who stands in the listener's queue when it closes was once reset with it. */
     @Test
     void whoConnectedBeforeTheListenerClosedIsServed() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         int port = node.port();
         Socket waiting = node.loop.submit(() -> {
-            node.clients.stopAccepting();
+            node.clientServer.stopAccepting();
             Socket s = new Socket(InetAddress.getLoopbackAddress(), port); // the loop does not come to it before
             s.setSoTimeout(Sockets.PATIENCE_MS);
             s.getOutputStream().write(bytes(view("q", Sockets.PATIENCE_MS)));
             return s;
         }).get();
-        kept(waiting);
+        closeAfterTest(waiting);
         assertEquals("for q ", Sockets.read(waiting.getInputStream()).text());
-        assertFalse(node.loop.submit(() -> node.clients.listener().isOpen()).get());
+        assertFalse(node.loop.submit(() -> node.clientServer.listener().isOpen()).get());
     }
 
     /** A connection that was just made is about to ask, and its request once met the end of its connection. */
     @Test
     void whoHasJustConnectedIsNotIdle() throws Exception {
         MovedClock clock = new MovedClock();
-        Node node = nodeBefore(host(SocketTest::echo), clock);
-        Client c = client(node);
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 1, "it is accepted");
-        node.loop.submit(node.clients::giveUpIdle).sync();
+        Node node = startNodeWithHosts(startHost(SocketTest::echo), clock);
+        Client c = connectClient(node);
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "it is accepted");
+        node.loop.submit(node.clientServer::closeIdleConnections).sync();
         assertEquals("for v ", c.send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        Client silent = client(node);
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 2, "it is accepted");
+        Client silent = connectClient(node);
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 2, "it is accepted");
         clock.move(1000);
-        node.loop.submit(node.clients::giveUpIdle).sync();
+        node.loop.submit(node.clientServer::closeIdleConnections).sync();
         assertNull(silent.receive());
     }
 
@@ -482,7 +482,7 @@
     void anEndDuringTheStartOpensNoListener() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
-        Server agent = kept(new Server((m, s) -> {
+        Server agent = closeAfterTest(new Server((m, s) -> {
             asked.countDown();
             if (!m.start().contains("from=")) {
                 answer.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -490,7 +490,7 @@
             }
         }));
         Node node = Sockets.unstarted(Sockets.config(agent.address(), "127.0.0.1:0"));
-        ends.push(node::stop);
+        resources.push(node::stop);
         AtomicReference<Boolean> served = new AtomicReference<>();
         Thread start = new Thread(() -> {
             try {
@@ -503,12 +503,12 @@
         assertTrue(asked.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS), "the start waits for a first word");
         node.loop.submit(() -> {
             node.drain();
-            node.clients.stopAccepting(); // as if its time had come
+            node.clientServer.stopAccepting(); // as if its time had come
         }).sync();
         answer.countDown();
         start.join();
         assertEquals(false, served.get());
-        assertNull(node.clients.listener());
+        assertNull(node.clientServer.listener());
         assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
     }
 
@@ -516,26 +516,26 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void anEndAndAnUpgradeCloseTheListenerOnce(boolean endFirst) throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
         int port = node.port();
-        Successor.Place place = node.place(() -> { });
-        Socket waiting = kept(new Socket());
+        Successor.ServingProcess place = node.handoverSteps(() -> { });
+        Socket waiting = closeAfterTest(new Socket());
         node.loop.submit(() -> {
-            node.clients.pause();
+            node.clientServer.pauseAccepting();
             waiting.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             if (endFirst) {
-                node.clients.stopAccepting();
+                node.clientServer.stopAccepting();
             }
             return null;
         }).sync();
-        place.leave();
+        place.stopAccepting();
         if (!endFirst) {
-            node.loop.submit(node.clients::stopAccepting).sync();
+            node.loop.submit(node.clientServer::stopAccepting).sync();
         }
         waiting.setSoTimeout(Sockets.PATIENCE_MS);
         waiting.getOutputStream().write(bytes(view("q", Sockets.PATIENCE_MS)));
         assertEquals("for q ", Sockets.read(waiting.getInputStream()).text());
-        assertNull(node.clients.listener());
+        assertNull(node.clientServer.listener());
     }
 
     // ---- the list
@@ -546,7 +546,7 @@
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
         List<Integer> connections = new ArrayList<>();
-        Server agent = kept(new Server((m, s) -> {
+        Server agent = closeAfterTest(new Server((m, s) -> {
             connections.add(s.getPort());
             asked.countDown();
             if (!m.start().contains("from=")) {
@@ -555,7 +555,7 @@
             }
         }));
         Node node = Sockets.unstarted(Sockets.config(agent.address(), "127.0.0.1:0"));
-        ends.push(node::stop);
+        resources.push(node::stop);
         Thread start = new Thread(() -> {
             try {
                 node.start();
--- a/gateway/src/test/java/marlford/gateway/net/DiscoveryTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DiscoveryTest.java
@@ -34,7 +34,7 @@
 
     /** Starts a node that uses a discovery agent. */
     private Node startNodeWithAgent(Server agent) throws IOException {
-        return running(Sockets.config(agent.address(), "127.0.0.1:0"));
+        return startNode(Sockets.config(agent.address(), "127.0.0.1:0"));
     }
 
     /** Returns a configuration with a list of hosts from before the start. */
@@ -72,9 +72,9 @@
 
     @Test
     void anAgentThatAcceptsButDoesNotRespondIsCalledAgain() throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         AtomicInteger calls = new AtomicInteger();
-        Server agent = kept(new Server((message, socket) -> {
+        Server agent = closeAfterTest(new Server((message, socket) -> {
             if (calls.incrementAndGet() == 2) {
                 socket.getOutputStream().write(ok(list(1, true, entry("h0", host.address(), "ready"))));
             }
@@ -86,9 +86,9 @@
 
     @Test
     void anAgentThatResetsConnectionsIsCalledUntilItResponds() throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         AtomicInteger calls = new AtomicInteger();
-        Server agent = kept(new Server((message, socket) -> {
+        Server agent = closeAfterTest(new Server((message, socket) -> {
             if (calls.incrementAndGet() < 6) {
                 socket.setSoLinger(true, 0);
                 socket.close();
@@ -109,7 +109,7 @@
     @ValueSource(booleans = {false, true})
     void theAgentIsCalledAgainAfterTheSharedFetchFails(boolean getsTurn) throws Exception {
         AtomicBoolean unavailable = new AtomicBoolean(true);
-        Server agent = kept(new Server((message, socket) -> {
+        Server agent = closeAfterTest(new Server((message, socket) -> {
             if (unavailable.get()) {
                 socket.setSoLinger(true, 0);
                 socket.close();
@@ -118,7 +118,7 @@
             }
         }));
         Node node = startNodeWithAgent(agent);
-        node.loop.submit(() -> node.extras = new GatewayExtensions(Map.of(), UsageRecorder.NONE, new FailingTurn(getsTurn),
+        node.loop.submit(() -> node.extensions = new GatewayExtensions(Map.of(), UsageRecorder.NONE, new FailingTurn(getsTurn),
                 serving -> { })).sync();
         for (int i = 0; i < FAILED_CALLS; i++) {
             assertNotNull(agent.next(), "no further call after a failure");
@@ -130,7 +130,7 @@
     /** Throws when a turn is requested, or else when the result of a failed call is reported. */
     private record FailingTurn(boolean getsTurn) implements SharedListFetch {
         @Override
-        public void due(String agent, Consumer<Told> next) {
+        public void requestTurn(String agent, Consumer<FetchedList> next) {
             if (!getsTurn) {
                 throw new NoClassDefFoundError("planted");
             }
@@ -138,7 +138,7 @@
         }
 
         @Override
-        public void called(String agent, boolean answered, String wholeList) {
+        public void reportResult(String agent, boolean answered, String wholeList) {
             if (!answered) {
                 throw new NoClassDefFoundError("planted");
             }
@@ -148,10 +148,10 @@
     /** An outdated list must not undo a drain, but an agent that has restarted its versions is accepted in the end. */
     @Test
     void anOlderListOfTheSameAgentDoesNotReopenADrainingHost() throws Exception {
-        Server draining = host(SocketTest::echo);
-        Server ready = host(SocketTest::echo);
+        Server draining = startHost(SocketTest::echo);
+        Server ready = startHost(SocketTest::echo);
         AtomicInteger calls = new AtomicInteger();
-        Server agent = kept(new Server((message, socket) -> {
+        Server agent = closeAfterTest(new Server((message, socket) -> {
             String h0 = entry("h0", draining.address(), calls.get() == 0 ? "draining" : "ready");
             if (calls.getAndIncrement() == 0) {
                 socket.getOutputStream().write(ok(list(9, true, h0, entry("h1", ready.address(), "ready"))));
@@ -172,20 +172,20 @@
      */
     @Test
     void theOldWatchGoesOnUntilTheNewAgentResponds() throws Exception {
-        Server first = host(SocketTest::echo);
-        Server second = host(SocketTest::echo);
-        Node node = nodeBefore(first);
-        awaitWatches(1);
+        Server first = startHost(SocketTest::echo);
+        Server second = startHost(SocketTest::echo);
+        Node node = startNodeWithHosts(first);
+        awaitDiscoveryWatches(1);
         Registry oldRegistry = registry;
-        Server silent = kept(new Server((message, socket) -> { }));
+        Server silent = closeAfterTest(new Server((message, socket) -> { }));
         switchAgent(node, silent.address());
         assertNotNull(silent.next());
         oldRegistry.news.add(list(2, false, entry("h0", first.address(), "draining"),
                 entry("h1", second.address(), "ready")));
-        awaitWatches(2);
+        awaitDiscoveryWatches(2);
         assertServedBy(node, second, 5);
         assertEquals(0, first.asked.size());
-        Registry newRegistry = kept(new Registry(list(1, true, entry("h0", first.address(), "ready"),
+        Registry newRegistry = closeAfterTest(new Registry(list(1, true, entry("h0", first.address(), "ready"),
                 entry("h1", second.address(), "ready"))));
         switchAgent(node, newRegistry.server.address());
         awaitCall(newRegistry.server, "from=1&");
@@ -198,11 +198,11 @@
     /** The listener opens only with the agent's current list; a list from before the start is not used if the agent responds. */
     @Test
     void theListenerOpensWithTheCurrentList() throws Exception {
-        Server stale = host(SocketTest::echo);
-        Server current = host(SocketTest::echo);
-        registry = kept(new Registry(list(4, true, entry("h1", current.address(), "ready"))));
+        Server stale = startHost(SocketTest::echo);
+        Server current = startHost(SocketTest::echo);
+        registry = closeAfterTest(new Registry(list(4, true, entry("h1", current.address(), "ready"))));
         String known = list(1, true, entry("h0", stale.address(), "ready"));
-        Node node = running(configWithKnownList(registry.server.address(), known));
+        Node node = startNode(configWithKnownList(registry.server.address(), known));
         assertServedBy(node, current, 3);
         assertEquals(0, stale.asked.size());
     }
@@ -210,9 +210,9 @@
     /** Without discovery, the gateway uses the list from before its start. */
     @Test
     void aStartWithoutDiscoveryUsesTheKnownList() throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         String known = list(1, true, entry("h0", host.address(), "ready"));
-        Node node = running(configWithKnownList("127.0.0.1:1", known));
+        Node node = startNode(configWithKnownList("127.0.0.1:1", known));
         assertServedBy(node, host, 3);
         assertFalse(host.asked.isEmpty());
     }
@@ -220,9 +220,9 @@
     /** A gateway without hosts would refuse all requests, so it reports unhealthy until it has a list. */
     @Test
     void aGatewayWithoutAListIsUnhealthy() throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         AtomicBoolean unavailable = new AtomicBoolean(true);
-        Server agent = kept(new Server((message, socket) -> {
+        Server agent = closeAfterTest(new Server((message, socket) -> {
             if (!unavailable.get() && !message.start().contains("from=")) {
                 socket.getOutputStream().write(ok(list(1, true, entry("h0", host.address(), "ready"))));
             }
@@ -238,8 +238,8 @@
     /** The response takes longer than the timeout, but parts keep arriving, each of which shows that the agent is alive. */
     @Test
     void aSlowResponseIsAwaitedWhilePartsArrive() throws Exception {
-        Server host = host(SocketTest::echo);
-        Server agent = kept(new Server((message, socket) -> {
+        Server host = startHost(SocketTest::echo);
+        Server agent = closeAfterTest(new Server((message, socket) -> {
             if (message.start().contains("from=")) {
                 return;
             }
@@ -251,12 +251,12 @@
         }));
         String settings = Sockets.config(agent.address(), "127.0.0.1:0")
                 .replace("\"rules\": {", "\"rules\": {\"drain_grace_ms\": 400, ");
-        Node node = running(settings);
+        Node node = startNode(settings);
         awaitCall(agent, "from=1&");
         assertServedBy(node, host, 1);
     }
 
     private int healthStatus(Node node) throws IOException {
-        return client(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status();
+        return connectClient(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status();
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/EndsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EndsTest.java
@@ -142,7 +142,7 @@
                     }
                 });
             }
-        }).bind(Transport.MEMORY.at(address(HOST_PORT))).sync().channel();
+        }).bind(Transport.MEMORY.socketAddress(address(HOST_PORT))).sync().channel();
     }
 
     @AfterEach
@@ -162,7 +162,7 @@
         inside = new NioEventLoopGroup(1);
         node = new Node(config, act -> module = new Scripted(act), Transport.MEMORY, inside);
         inside.submit(() -> node.listen()).sync().getNow().sync();
-        inside.submit(() -> node.hostsTold(ListKind.FULL, List.of(new Discovery.Entry(
+        inside.submit(() -> node.onHostsUpdated(ListKind.FULL, List.of(new Discovery.Entry(
                 new Host("h", "a", "", 0, HostState.RUNNING, 1, 0), address(HOST_PORT))))).sync();
     }
 
@@ -228,7 +228,7 @@
                     }
                 }
                 case CANCEL -> inside.submit(() -> {
-                    if (module.id != null && node.knows(module.id) && answering == null) {
+                    if (module.id != null && node.isRequestOpen(module.id) && answering == null) {
                         module.act.cancel(module.id, module.attempts - 1);
                     }
                 }).sync();
@@ -237,8 +237,8 @@
                         module.act.refuse(module.id, 0);
                     }
                 }).sync();
-                case END_ALL -> inside.submit(node::endAll).sync();
-                case LEAVE -> inside.submit(node::leave).sync();
+                case END_ALL -> inside.submit(node::endAllRequests).sync();
+                case LEAVE -> inside.submit(node::releaseClients).sync();
                 default -> throw new IllegalStateException();
             }
             settle();
@@ -281,7 +281,7 @@
                 assertTrue(seen.startsWith("whole"), script);
             }
             assertTrue(seen.equals("nothing") || seen.startsWith("whole") || gone || brokenOff, script);
-            assertTrue(node.figures.text().contains("svc.current=0\n"), script + " " + node.figures.text());
+            assertTrue(node.metrics.text().contains("svc.current=0\n"), script + " " + node.metrics.text());
         }
 
         /** What the client has received: nothing, a part of an answer, or a whole one and nothing behind it. */
@@ -341,7 +341,7 @@
                 bytes.release();
                 received.writeBytes(copy);
             }
-        }).connect(Transport.MEMORY.at(node.config.listen())).sync().channel();
+        }).connect(Transport.MEMORY.socketAddress(node.config.listen())).sync().channel();
     }
 
     /** All orders in which two lists can be merged. */
@@ -390,7 +390,7 @@
         settle();
         inside.submit(() -> {
             module.act.refuse("a", 0);
-            node.clients.giveUpIdle(); // in the same turn of the loop
+            node.clientServer.closeIdleConnections(); // in the same turn of the loop
         }).sync();
         settle();
         inside.submit(() -> module.act.refuse("b", 0)).sync();
--- a/gateway/src/test/java/marlford/gateway/net/FailedAcceptStopsAcceptingTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/FailedAcceptStopsAcceptingTest.java
@@ -66,8 +66,8 @@
             }
 
             @Override
-            SocketAddress at(InetSocketAddress address) {
-                return TCP.at(failingBinds.getAndUpdate(n -> Math.max(0, n - 1)) > 0 ? NOT_HERE : address);
+            SocketAddress socketAddress(InetSocketAddress address) {
+                return TCP.socketAddress(failingBinds.getAndUpdate(n -> Math.max(0, n - 1)) > 0 ? NOT_HERE : address);
             }
         };
     }
@@ -77,17 +77,17 @@
     }
 
     private Node node(String error, Clock clock) throws Exception {
-        registry = kept(new Registry(list(1, true, entry("h0", host(SocketTest::echo).address(), "ready"))));
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionEngine::new, failing(error), new NioEventLoopGroup(1), clock);
-        ends.push(node::stop);
+        resources.push(node::stop);
         node.start();
         port = node.port();
         return node;
     }
 
     private Client connected() throws IOException {
-        return kept(new Client(new Socket(InetAddress.getLoopbackAddress(), port)));
+        return closeAfterTest(new Client(new Socket(InetAddress.getLoopbackAddress(), port)));
     }
 
     @ParameterizedTest
@@ -104,13 +104,13 @@
     @ValueSource(booleans = {false, true})
     void whoStandsInTheQueueAtTheListenersEndIsHeard(boolean replaced) throws Exception {
         Node node = node("Too many open files in system");
-        node.loop.submit(node.clients::pause).get();
+        node.loop.submit(node.clientServer::pauseAccepting).get();
         List<Client> waiting = new ArrayList<>();
         for (int i = 0; i < WAITING; i++) {
             waiting.add(connected().send(view("w" + i, Sockets.PATIENCE_MS)));
         }
         failing.set(IN_A_ROW);
-        node.loop.submit(replaced ? node.clients::leave : node.clients::stopAccepting).get();
+        node.loop.submit(replaced ? node.clientServer::closeForSuccessor : node.clientServer::stopAccepting).get();
         for (Client c : waiting) {
             assertEquals(200, c.receive().status());
         }
@@ -120,11 +120,11 @@
     @Test
     void aPlaceThatIsTakenBackIsListenedAtThoughTheFirstBindsFail() throws Exception {
         Node node = node("none");
-        node.place(() -> { }).release();
-        node.place(() -> { }).leave();
+        node.handoverSteps(() -> { }).handOver();
+        node.handoverSteps(() -> { }).stopAccepting();
         failingBinds.set(3);
-        node.place(() -> { }).takeBack();
-        Sockets.await(() -> node.loop.submit(() -> failingBinds.get() == 0 && node.clients.listener().isActive()).get(), "a listener");
+        node.handoverSteps(() -> { }).resume();
+        Sockets.await(() -> node.loop.submit(() -> failingBinds.get() == 0 && node.clientServer.listener().isActive()).get(), "a listener");
         port = node.port();
         assertEquals(200, connected().send(view("a", Sockets.PATIENCE_MS)).receive().status());
     }
@@ -137,7 +137,7 @@
         assertEquals(200, idle.send(view("idle", Sockets.PATIENCE_MS)).receive().status());
         failing.set(2);
         assertEquals(200, connected().send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 1, "the idle connection gave way");
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "the idle connection gave way");
     }
 
     /** Half of the sockets can't be opened just then, either. One failure in ten, with hardly anyone connected, once shut out nearly all for seconds. */
--- a/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
@@ -43,19 +43,19 @@
         }
 
         @Override
-        void claim(InetSocketAddress address) throws IOException {
+        void verifyUnused(InetSocketAddress address) throws IOException {
             if (failingClaims.getAndDecrement() > 0) {
                 throw claimFailure;
             }
-            TCP.claim(address);
+            TCP.verifyUnused(address);
         }
     };
 
     private Node node() throws Exception {
-        registry = kept(new Registry(list(1, true, entry("h0", host(SocketTest::echo).address(), "ready"))));
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionEngine::new, transport, new NioEventLoopGroup(1));
-        ends.push(node::stop);
+        resources.push(node::stop);
         return node;
     }
 
--- a/gateway/src/test/java/marlford/gateway/net/ForbiddenRepeatIsSentTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ForbiddenRepeatIsSentTest.java
@@ -46,17 +46,17 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsZone() throws Exception {
-        Server resets = host((m, s) -> s.close());
-        Server other = host(SocketTest::echo);
-        registry = kept(new Registry(list(1, true, entry("h0", resets.address(), "ready"),
+        Server resets = startHost((m, s) -> s.close());
+        Server other = startHost(SocketTest::echo);
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", resets.address(), "ready"),
                 entry("h1", other.address(), "ready").replace("\"zone\":\"a\"", "\"zone\":\"b\""))));
         AtomicReference<Outcome> second = new AtomicReference<>();
         Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), act -> new Careless(act, second));
-        ends.push(node::stop);
-        assertEquals(502, client(node).send(order("o", "body")).receive().status());
+        resources.push(node::stop);
+        assertEquals(502, connectClient(node).send(order("o", "body")).receive().status());
         Sockets.await(() -> second.get() != null, "the module is told");
         assertEquals(Outcome.MOOT, second.get());
         assertEquals(List.of(), other.asked);
-        assertEquals(1, node.loop.submit(() -> node.rules.count(Rule.REPEATED_ELSEWHERE)).get());
+        assertEquals(1, node.loop.submit(() -> node.ruleCounter.count(Rule.REPEATED_ELSEWHERE)).get());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/ForwardingTransport.java
+++ b/gateway/src/test/java/marlford/gateway/net/ForwardingTransport.java
@@ -21,12 +21,12 @@
     }
 
     @Override
-    void claim(InetSocketAddress address) throws IOException {
-        TCP.claim(address);
+    void verifyUnused(InetSocketAddress address) throws IOException {
+        TCP.verifyUnused(address);
     }
 
     @Override
-    SocketAddress at(InetSocketAddress address) {
-        return TCP.at(address);
+    SocketAddress socketAddress(InetSocketAddress address) {
+        return TCP.socketAddress(address);
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/HostListParserTest.java
@@ -32,7 +32,7 @@
 class HostListParserTest {
     private static final int MAX_HOSTS = 1000;
 
-    private static HostListAnswer parse(String text, int partBytes, int maxHosts) throws IOException {
+    private static HostListUpdate parse(String text, int partBytes, int maxHosts) throws IOException {
         HostListParser parser = new HostListParser(maxHosts);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int from = 0; from < bytes.length; from += partBytes) {
@@ -43,7 +43,7 @@
         return parser.end();
     }
 
-    private static HostListAnswer parse(String text) throws IOException {
+    private static HostListUpdate parse(String text) throws IOException {
         return parse(text, Integer.MAX_VALUE / 2, MAX_HOSTS);
     }
 
@@ -64,7 +64,7 @@
     @Property(tries = 300)
     void parsesTheSameAsTreeReading(@ForAll("lists") String text, @ForAll @IntRange(min = 1, max = 60) int partBytes)
             throws IOException {
-        HostListAnswer parsed = parse(text, partBytes, MAX_HOSTS);
+        HostListUpdate parsed = parse(text, partBytes, MAX_HOSTS);
         assertEquals(Discovery.readEntries(new ObjectMapper().readTree(text)), parsed.entries());
         assertEquals(41, parsed.version());
         assertTrue(parsed.full());
@@ -82,10 +82,10 @@
 
     @Test
     void changesAndMissingFieldsAreParsed() throws IOException {
-        HostListAnswer changes = parse(list(43, false, entry("h", "10.0.0.1:80", "draining")));
+        HostListUpdate changes = parse(list(43, false, entry("h", "10.0.0.1:80", "draining")));
         assertFalse(changes.full());
         assertEquals(HostState.DRAINING, changes.entries().get(0).host().state());
-        HostListAnswer bare = parse("{}");
+        HostListUpdate bare = parse("{}");
         assertEquals(HostList.NO_VERSION, bare.version());
         assertEquals(List.of(), bare.entries());
         assertEquals(List.of(), parse("{\"version\":1,\"full\":true,\"servers\":[3,[{}],null]}").entries());
--- a/gateway/src/test/java/marlford/gateway/net/HostAnswersTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/InvalidHostResponseTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Invalid responses and unsolicited bytes from hosts: no client may receive them, and each costs at most its attempt. */
-class HostAnswersTest extends SocketTest {
+class InvalidHostResponseTest extends SocketTest {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
     /** Guards against invalid responses that reach the client as its response, or hold the request until its deadline. */
@@ -37,14 +37,14 @@
         "HTTP/1.1 101 Go\r\n\r\nspam"})
     void anInvalidResponseFailsItsAttemptAtOnceAndClosesItsConnection(String invalidResponse) throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        Server host = host((message, socket) -> {
+        Server host = startHost((message, socket) -> {
             if (requests.incrementAndGet() > 1) {
                 echo(message, socket);
                 return;
             }
             socket.getOutputStream().write(bytes(invalidResponse)); // the host keeps the connection open
         });
-        Client client = client(nodeBefore(host));
+        Client client = connectClient(startNodeWithHosts(host));
         assertEquals("for o b", client.send(order("o", "b")).receive().text());
         assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals(2, requests.get());
@@ -53,8 +53,8 @@
     /** A keyed request with only invalid responses may have run, so it fails and is never refused (rule 2). */
     @Test
     void aRequestWithOnlyInvalidResponsesFails() throws Exception {
-        Server host = host((message, socket) -> socket.getOutputStream().write(bytes("HTTP/1.1 twohundred\r\n\r\n")));
-        assertEquals(502, client(nodeBefore(host)).send(order("o", "b")).receive().status());
+        Server host = startHost((message, socket) -> socket.getOutputStream().write(bytes("HTTP/1.1 twohundred\r\n\r\n")));
+        assertEquals(502, connectClient(startNodeWithHosts(host)).send(order("o", "b")).receive().status());
         assertEquals(3, host.asked.size());
     }
 
@@ -64,13 +64,13 @@
         "noise", "\r\n"})
     void bytesBehindAResponseReachNoClient(String extraBytes) throws Exception {
         Set<Socket> usedConnections = ConcurrentHashMap.newKeySet();
-        Server host = host((message, socket) -> {
+        Server host = startHost((message, socket) -> {
             assertTrue(usedConnections.add(socket), "connection with bytes behind its response was used again");
             String response = "for " + message.header("X-Trace-Id");
             socket.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n"
                     + response + extraBytes));
         });
-        Client client = client(nodeBefore(host));
+        Client client = connectClient(startNodeWithHosts(host));
         for (int i = 0; i < 10; i++) {
             assertEquals("for v" + i, client.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
         }
@@ -82,14 +82,14 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond", "HTTP/1.1 200 OK\r\nContent-"})
     void bytesOnAnIdleConnectionCloseIt(String unsolicited) throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        Server host = host((message, socket) -> {
+        Server host = startHost((message, socket) -> {
             echo(message, socket);
             if (requests.incrementAndGet() == 1) {
                 Thread.sleep(50); // the response is read by then, and the connection is idle in its pool
                 socket.getOutputStream().write(bytes(unsolicited));
             }
         });
-        Client client = client(nodeBefore(host));
+        Client client = connectClient(startNodeWithHosts(host));
         assertEquals("for v ", client.send(view("v", Sockets.PATIENCE_MS)).receive().text());
         assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals("for w ", client.send(view("w", Sockets.PATIENCE_MS)).receive().text());
@@ -98,13 +98,13 @@
     /** A 1xx response is not the final one, and an invalid load report is ignored; neither costs an attempt. */
     @Test
     void interimResponsesAndInvalidLoadReportsCostNoAttempt() throws Exception {
-        Server host = host((message, socket) -> {
+        Server host = startHost((message, socket) -> {
             socket.getOutputStream().write(bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                     + "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT util=NaN,\u0001\u00ff=\r\n"
                     + "Content-Type: \u0001\r\nContent-Length: 3\r\n\r\n"));
             socket.getOutputStream().write(bytes("abc"));
         });
-        Client client = client(nodeBefore(host));
+        Client client = connectClient(startNodeWithHosts(host));
         for (int i = 0; i < 3; i++) {
             assertEquals("abc", client.send(order("o" + i, "b")).receive().text());
         }
@@ -113,12 +113,12 @@
 
     @Test
     void aResponseInSingleBytesIsDeliveredWhole() throws Exception {
-        Server host = host((message, socket) -> {
+        Server host = startHost((message, socket) -> {
             for (byte b : ok("for " + message.header("X-Trace-Id"))) {
                 socket.getOutputStream().write(b);
             }
         });
-        Client client = client(nodeBefore(host));
+        Client client = connectClient(startNodeWithHosts(host));
         for (int i = 0; i < 3; i++) {
             assertEquals("for v" + i, client.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
         }
--- a/gateway/src/test/java/marlford/gateway/net/LeftClientsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LeftClientsTest.java
@@ -46,7 +46,7 @@
 class LeftClientsTest extends SocketTest {
     private static final double LATE_MS = 101;
     private static final int LONG_MS = 60_000; // a client's patience, where the clock is moved
-    private static final int LONG_BODY = 4 * ClientServer.MAX_BODY; // more than is read before a host takes it
+    private static final int LONG_BODY = 4 * ClientServer.MAX_BUFFERED_BODY_BYTES; // more than is read before a host takes it
 
     /** How a client leaves. */
     private enum Leaving {
@@ -138,7 +138,7 @@
 
     @BeforeEach
     void startHost() throws IOException {
-        host = host((m, s) -> {
+        host = startHost((m, s) -> {
             if (m.start().contains("/breaks")) {
                 s.close();
             } else {
@@ -148,11 +148,11 @@
     }
 
     private void startNode(Transport transport) throws IOException {
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         String config = Sockets.config(registry.server.address(), "127.0.0.1:0");
         node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), act -> module = new Manual(act), transport,
                 new NioEventLoopGroup(1), clock);
-        ends.push(node::stop);
+        resources.push(node::stop);
         node.start();
     }
 
@@ -170,7 +170,7 @@
 
     /** A host that has answered a later request has read whatever was sent to it before. */
     private void assertHostAskedOnly(String... ids) throws Exception {
-        assertEquals(200, client(node).send(view("now-last", LONG_MS)).receive().status());
+        assertEquals(200, connectClient(node).send(view("now-last", LONG_MS)).receive().status());
         List<String> asked = host.asked.stream().map(m -> m.header("X-Trace-Id")).filter(id -> !id.equals("now-last")).toList();
         assertEquals(List.of(ids), asked);
     }
@@ -180,15 +180,15 @@
     @EnumSource(Leaving.class)
     void nothingBeginsWhereTheEndIsReadWithTheRequest(Leaving leaving) throws Exception {
         startNode();
-        Client c = client(node);
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 1, "it is accepted");
+        Client c = connectClient(node);
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "it is accepted");
         inLoop(() -> {
             c.send(view("now-v", LONG_MS));
             leaving.of(c);
             clock.move(LATE_MS);
             return null;
         });
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "its end is seen");
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "its end is seen");
         assertHostAskedOnly();
     }
 
@@ -197,7 +197,7 @@
     @EnumSource(Leaving.class)
     void noFirstAttemptBeginsOfWhatWasHeld(Leaving leaving) throws Exception {
         startNode();
-        Client c = client(node).send(view("v", LONG_MS));
+        Client c = connectClient(node).send(view("v", LONG_MS));
         module.awaitHeld("v");
         inLoop(() -> {
             leaving.of(c);
@@ -214,7 +214,7 @@
     @EnumSource(Leaving.class)
     void noFurtherAttemptBegins(Leaving leaving) throws Exception {
         startNode();
-        Client c = client(node).send(view("breaks", LONG_MS));
+        Client c = connectClient(node).send(view("breaks", LONG_MS));
         module.awaitHeld("breaks");
         inLoop(() -> {
             module.act.send("breaks", "h0", 0);
@@ -236,7 +236,7 @@
     void nothingIsWrittenOnAConnectionThatComesUpAfterTheEnd(Leaving leaving) throws Exception {
         LateConnections connections = new LateConnections(host.address());
         startNode(connections);
-        Client c = client(node).send(view("v", LONG_MS));
+        Client c = connectClient(node).send(view("v", LONG_MS));
         module.awaitHeld("v");
         inLoop(() -> {
             module.act.send("v", "h0", 0);
@@ -249,7 +249,7 @@
             return first.setSuccess();
         });
         assertEquals(Outcome.CANCELLED, module.awaitEnd());
-        Client last = client(node).send(view("now-last", LONG_MS));
+        Client last = connectClient(node).send(view("now-last", LONG_MS));
         ChannelPromise second = connections.up.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
         inLoop(second::setSuccess);
         assertEquals(200, last.receive().status());
@@ -261,7 +261,7 @@
     @ValueSource(ints = {2, 17, 100, 1000})
     void nothingBeginsOfWhatWasSentAhead(int many) throws Exception {
         startNode();
-        Client c = client(node).send(requests("v", many));
+        Client c = connectClient(node).send(requests("v", many));
         module.awaitHeld("v0");
         inLoop(() -> {
             c.close();
@@ -278,7 +278,7 @@
     @ValueSource(ints = {2, 17, 100, 1000})
     void nothingBeginsBehindAnAnswer(int many) throws Exception {
         startNode();
-        Client c = client(node).send(requests("v", 1) + requests("now", many - 1));
+        Client c = connectClient(node).send(requests("v", 1) + requests("now", many - 1));
         module.awaitHeld("v0");
         inLoop(() -> {
             c.close();
@@ -286,7 +286,7 @@
             module.act.refuse("v0", 0);
             return null;
         });
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "its end is seen");
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "its end is seen");
         assertHostAskedOnly();
     }
 
@@ -295,7 +295,7 @@
     void whatCannotBeLookedBehindIsAnswered() throws Exception {
         startNode();
         int many = 1000;
-        Client c = client(node).send(requests("v", 1) + requests("now", many - 1));
+        Client c = connectClient(node).send(requests("v", 1) + requests("now", many - 1));
         module.awaitHeld("v0");
         inLoop(() -> {
             clock.move(LATE_MS);
@@ -325,7 +325,7 @@
     @Test
     void aLongBodyWhoseClientLeftBehindItNeverComesWhole() throws Exception {
         startNode();
-        Client c = client(node);
+        Client c = connectClient(node);
         c.send("POST /order/x HTTP/1.1\r\nHost: h\r\n" + Sockets.headers("v", LONG_MS) + "Idempotency-Key: key-v\r\n"
                 + "Content-Length: " + LONG_BODY + "\r\n\r\n");
         c.socket.getOutputStream().write(new byte[LONG_BODY]);
@@ -340,7 +340,7 @@
     void nothingBeginsOfAClientThatIsNotReadForItsFaults() throws Exception {
         startNode();
         String bad = view("bad", LONG_MS).replace("units=1", "units=x");
-        Client c = client(node).send(bad + bad + view("v", LONG_MS));
+        Client c = connectClient(node).send(bad + bad + view("v", LONG_MS));
         module.awaitHeld("v");
         leavesAsAnAttemptBegins(c);
         assertEquals(Outcome.MOOT, module.awaitEnd());
@@ -351,8 +351,8 @@
     @Test
     void whoStaysIsServedByALateLoop() throws Exception {
         startNode();
-        Client c = client(node);
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 1, "it is accepted");
+        Client c = connectClient(node);
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "it is accepted");
         inLoop(() -> {
             c.send(requests("now", 40));
             clock.move(LATE_MS);
@@ -367,13 +367,13 @@
     @Test
     void whatWasReadAndNotBegunIsNotIdle() throws Exception {
         startNode();
-        Client c = client(node);
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 1, "it is accepted");
+        Client c = connectClient(node);
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "it is accepted");
         inLoop(() -> {
             c.send(view("now-v", LONG_MS));
             clock.move(LONG_MS / 10.0);
-            node.clients.giveUpIdle();
-            node.clients.giveUpIdle();
+            node.clientServer.closeIdleConnections();
+            node.clientServer.closeIdleConnections();
             return null;
         });
         assertEquals("for now-v ", c.receive().text());
--- a/gateway/src/test/java/marlford/gateway/net/HostIsBlamedForALocalFailureTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LocalConnectFailureTest.java
@@ -32,7 +32,7 @@
  * Guards against blaming a host for a connect failure on this machine. Such a failure must cost the request neither an attempt
  * nor its response, and the host must not be avoided.
  */
-class HostIsBlamedForALocalFailureTest extends SocketTest {
+class LocalConnectFailureTest extends SocketTest {
     private static final int CONSECUTIVE_FAILURES = 8; // more than the attempts of a request
 
     private final AtomicInteger failuresLeft = new AtomicInteger();
@@ -92,10 +92,10 @@
     }
 
     private Node startNode(Failure failure, String... hosts) throws Exception {
-        registry = kept(new Registry(list(1, true, hosts)));
+        registry = closeAfterTest(new Registry(list(1, true, hosts)));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionEngine::new, new FailingTransport(failure), new NioEventLoopGroup(1));
-        ends.push(node::stop);
+        resources.push(node::stop);
         node.start();
         return node;
     }
@@ -103,7 +103,7 @@
     @ParameterizedTest
     @EnumSource(names = {"ENFILE", "EADDRNOTAVAIL", "ENOBUFS"})
     void aLocalFailureIsRetriedWithinTheAttempt(Failure failure) throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         Node node = startNode(failure, entry("h0", host.address(), "ready"));
         try (Client client = new Client(node)) {
             failuresLeft.set(CONSECUTIVE_FAILURES);
@@ -111,32 +111,32 @@
         }
         assertEquals(CONSECUTIVE_FAILURES, failedConnects.get());
         assertEquals(1, host.asked.size());
-        assertEquals(0, node.loop.submit(() -> node.avoided()).get());
+        assertEquals(0, node.loop.submit(() -> node.avoidedHostCount()).get());
     }
 
     /** The host or the network path to it failed: the request goes to another host, and this one is avoided. */
     @ParameterizedTest
     @EnumSource(names = {"ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT"})
     void aNetworkFailureIsEvidenceAgainstTheHost(Failure failure) throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         Node node = startNode(failure, entry("h0", host.address(), "ready"), entry("h1", host.address(), "ready"));
         try (Client client = new Client(node)) {
             failuresLeft.set(1);
             assertEquals(200, client.send(view("a", Sockets.PATIENCE_MS)).receive().status());
         }
         assertEquals(1, failedConnects.get());
-        assertEquals(1, node.loop.submit(() -> node.avoided()).get());
+        assertEquals(1, node.loop.submit(() -> node.avoidedHostCount()).get());
     }
 
     /** The failure outlasts the retries: the client gets an error, and the host is not avoided. */
     @Test
     void aLastingLocalFailureIsAnErrorButTheHostIsNotAvoided() throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         Node node = startNode(Failure.ENFILE, entry("h0", host.address(), "ready"));
         try (Client client = new Client(node)) {
             failuresLeft.set(Integer.MAX_VALUE);
             assertTrue(client.send(view("a", Sockets.PATIENCE_MS)).receive().status() >= 400);
-            assertEquals(0, node.loop.submit(() -> node.avoided()).get());
+            assertEquals(0, node.loop.submit(() -> node.avoidedHostCount()).get());
             failuresLeft.set(0);
             assertEquals(200, client.send(view("b", Sockets.PATIENCE_MS)).receive().status());
         }
--- a/gateway/src/test/java/marlford/gateway/net/LongAnswersTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongAnswersTest.java
@@ -57,7 +57,7 @@
     }
 
     private static void awaitCurrent(Node node, long value) throws Exception {
-        Sockets.await(() -> node.figures.text().contains("svc.current=" + value + "\n"), "current is " + value);
+        Sockets.await(() -> node.metrics.text().contains("svc.current=" + value + "\n"), "current is " + value);
     }
 
     /** The count once it no longer rises; it has to have risen. */
@@ -91,11 +91,11 @@
     @Test
     void aLongAnswerPassesWholeAndItsConnectionsStay() throws Exception {
         byte[] content = content(LONG);
-        Server host = host(once((m, s) -> {
+        Server host = startHost(once((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + LONG));
             s.getOutputStream().write(content);
         }));
-        Client c = client(nodeBefore(host));
+        Client c = connectClient(startNodeWithHosts(host));
         Message answer = c.send(view("long", Sockets.PATIENCE_MS)).receive();
         assertEquals("image/png", answer.header("Content-Type"));
         assertArrayEquals(content, answer.body());
@@ -106,7 +106,7 @@
     @Test
     void anAnswerOfUnknownLengthPassesWhole() throws Exception {
         byte[] content = content(LONG);
-        Server host = host(once((m, s) -> {
+        Server host = startHost(once((m, s) -> {
             OutputStream out = s.getOutputStream();
             out.write(head("Transfer-Encoding: chunked"));
             for (int at = 0; at < LONG; at += 10_000) {
@@ -117,7 +117,7 @@
             }
             out.write(bytes("0\r\n\r\n"));
         }));
-        Client c = client(nodeBefore(host)).send(view("long", Sockets.PATIENCE_MS));
+        Client c = connectClient(startNodeWithHosts(host)).send(view("long", Sockets.PATIENCE_MS));
         InputStream in = c.socket.getInputStream();
         assertEquals("HTTP/1.1 200 OK", line(in));
         String framing = "";
@@ -134,14 +134,14 @@
     void whatAClientDoesNotTakeIsNotRead() throws Exception {
         AtomicLong given = new AtomicLong();
         byte[] part = content(PART);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + VERY_LONG));
             for (int at = 0; at < VERY_LONG; at += PART) {
                 s.getOutputStream().write(part);
                 given.addAndGet(PART);
             }
         });
-        Client c = client(nodeBefore(host)).send(view("long", Sockets.PATIENCE_MS));
+        Client c = connectClient(startNodeWithHosts(host)).send(view("long", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
         long before = settled(given); // the host can give no more
         assertTrue(before < VERY_LONG - PART, "the host gave " + before);
@@ -155,13 +155,13 @@
     /** The client is to see that this is not all; nothing may follow on that connection. */
     @Test
     void anAnswerThatBreaksOffEndsItsConnection() throws Exception {
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + LONG));
             s.getOutputStream().write(new byte[LONG / 2]);
             s.close();
         });
-        Node node = nodeBefore(host);
-        Client c = client(node).send(view("long", Sockets.PATIENCE_MS) + GO_ON);
+        Node node = startNodeWithHosts(host);
+        Client c = connectClient(node).send(view("long", Sockets.PATIENCE_MS) + GO_ON);
         InputStream in = c.socket.getInputStream();
         long got = 0;
         try {
@@ -173,20 +173,20 @@
         }
         assertTrue(got < LONG, "got " + got);
         awaitCurrent(node, 0);
-        assertTrue(node.figures.text().contains("svc.errored.view=1\n"), node.figures.text());
+        assertTrue(node.metrics.text().contains("svc.errored.view=1\n"), node.metrics.text());
         assertEquals(1, host.asked.size()); // what was begun is not asked for again
     }
 
     @Test
     void aClientThatLeavesEndsTheAnswerAtTheHost() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + VERY_LONG));
             s.getOutputStream().write(new byte[LONG / 8]);
             begun.countDown();
         });
-        Node node = nodeBefore(host);
-        Client c = client(node).send(view("long", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(host);
+        Client c = connectClient(node).send(view("long", Sockets.PATIENCE_MS));
         assertTrue(begun.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals('H', c.socket.getInputStream().read());
         c.close();
@@ -199,16 +199,16 @@
     void aLongAnswerOutlastsTheClientsTime() throws Exception {
         byte[] content = content(LONG);
         CountDownLatch timeUp = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + LONG));
             s.getOutputStream().write(content, 0, LONG / 2);
             timeUp.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(content, LONG / 2, LONG / 2);
         });
-        Node node = nodeBefore(host);
-        InputStream in = client(node).send(view("long", Sockets.PATIENCE_MS)).socket.getInputStream();
+        Node node = startNodeWithHosts(host);
+        InputStream in = connectClient(node).send(view("long", Sockets.PATIENCE_MS)).socket.getInputStream();
         byte[] first = {(byte) in.read()}; // it goes to the client by now
-        node.loop.submit(() -> node.deadline("long")).sync();
+        node.loop.submit(() -> node.onDeadline("long")).sync();
         timeUp.countDown();
         assertArrayEquals(content, Sockets.read(new SequenceInputStream(new ByteArrayInputStream(first), in)).body());
     }
@@ -216,11 +216,11 @@
     /** Only a good answer is passed on; a long error is an error, and another attempt follows. */
     @Test
     void aLongErrorIsAnError() throws Exception {
-        Server host = host(once((m, s) -> {
+        Server host = startHost(once((m, s) -> {
             s.getOutputStream().write(bytes("HTTP/1.1 500 Oops\r\nContent-Length: " + LONG + "\r\n\r\n"));
             s.getOutputStream().write(new byte[LONG]);
         }));
-        assertEquals("for v ", client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for v ", connectClient(startNodeWithHosts(host)).send(view("v", Sockets.PATIENCE_MS)).receive().text());
         assertEquals(2, host.asked.size());
     }
 
@@ -229,23 +229,23 @@
     void anAnswerInSlowPiecesIsServed() throws Exception {
         MovedClock clock = MovedClock.standing();
         AtomicReference<Node> gateway = new AtomicReference<>();
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             for (byte b : bytes("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc")) {
                 s.getOutputStream().write(b);
                 gateway.get().loop.submit(() -> clock.move(10)).sync(); // in all far longer than a pause may be
             }
         });
-        Node node = nodeBefore(host, clock);
+        Node node = startNodeWithHosts(host, clock);
         gateway.set(node);
-        assertEquals("abc", client(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("abc", connectClient(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
         assertEquals(1, host.asked.size());
     }
 
     /** Room is made, and clients are sent away, while a request is on its way on a connection that asked before. */
     @Test
     void aConnectionOnWhichARequestIsComingIsNotIdle() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
-        Client c = client(node).send(view("first", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
+        Client c = connectClient(node).send(view("first", Sockets.PATIENCE_MS));
         assertEquals("for first ", c.receive().text());
         c.send(GO_ON.substring(0, 30));
         node.loop.submit(node::drain).sync();
@@ -256,7 +256,7 @@
 
     @Test
     void aHeadMayTakeTwoSeconds() throws Exception {
-        Client c = client(nodeBefore(host(SocketTest::echo)));
+        Client c = connectClient(startNodeWithHosts(startHost(SocketTest::echo)));
         for (int at = 0; at < GO_ON.length(); at += GO_ON.length() / 4) {
             c.send(GO_ON.substring(at, Math.min(GO_ON.length(), at + GO_ON.length() / 4)));
             Thread.sleep(600);
