--- a/gateway/src/test/java/marlford/gateway/net/LongBodiesTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongBodiesTest.java
@@ -57,8 +57,8 @@
     @Test
     void aLongBodyPassesWholeAndItsConnectionsStay() throws Exception {
         byte[] body = content(LONG);
-        Server host = host((m, s) -> s.getOutputStream().write(m.body().length == 0 ? ok("for next ") : ok("done")));
-        Client c = client(nodeBefore(host));
+        Server host = startHost((m, s) -> s.getOutputStream().write(m.body().length == 0 ? ok("for next ") : ok("done")));
+        Client c = connectClient(startNodeWithHosts(host));
         order(c, "o", body);
         assertEquals("done", c.receive().text());
         assertArrayEquals(body, host.next().body());
@@ -70,7 +70,7 @@
     void aBodyOfUnknownLengthPassesWhole() throws Exception {
         byte[] body = content(LONG);
         CompletableFuture<byte[]> got = new CompletableFuture<>();
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if ("chunked".equals(m.header("Transfer-Encoding"))) {
                 got.complete(LongAnswersTest.chunks(s.getInputStream()));
                 s.getOutputStream().write(ok("done"));
@@ -78,7 +78,7 @@
                 echo(m, s);
             }
         });
-        Client c = client(nodeBefore(host)).send(head("o", "Transfer-Encoding: chunked"));
+        Client c = connectClient(startNodeWithHosts(host)).send(head("o", "Transfer-Encoding: chunked"));
         OutputStream out = c.socket.getOutputStream();
         for (int at = 0; at < LONG; at += 9_000) {
             byte[] part = Arrays.copyOfRange(body, at, Math.min(LONG, at + 9_000));
@@ -110,7 +110,7 @@
                 }
             });
             host.start();
-            Client c = client(nodeWith(entry("h", "127.0.0.1:" + slow.getLocalPort(), "ready")));
+            Client c = connectClient(startNodeWithEntries(entry("h", "127.0.0.1:" + slow.getLocalPort(), "ready")));
             AtomicLong sent = new AtomicLong();
             Thread writer = new Thread(() -> {
                 try {
@@ -137,10 +137,10 @@
     @Test
     void aHostThatRefusesConnectionsCostsNoLongBody() throws Exception {
         byte[] body = content(LONG);
-        Server host = host((m, s) -> s.getOutputStream().write(ok("done")));
-        Node node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
+        Server host = startHost((m, s) -> s.getOutputStream().write(ok("done")));
+        Node node = startNodeWithEntries(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 6; i++) {
-            Client c = client(node);
+            Client c = connectClient(node);
             order(c, "o" + i, body);
             assertEquals("done", c.receive().text());
             assertArrayEquals(body, host.next().body());
@@ -167,7 +167,7 @@
                 }
             });
             host.start();
-            Client c = client(nodeWith(entry("h", "127.0.0.1:" + breaking.getLocalPort(), "ready")));
+            Client c = connectClient(startNodeWithEntries(entry("h", "127.0.0.1:" + breaking.getLocalPort(), "ready")));
             c.send(head("o", "Content-Length: " + LONG));
             c.socket.getOutputStream().write(new byte[LONG / 2]);
             assertTrue(broken.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
@@ -182,9 +182,9 @@
     /** It may have run: the client gets no refusal, and no host gets the order again. */
     @Test
     void aHostThatResetsAfterTheLastByteIsAFailure() throws Exception {
-        Server host = host((m, s) -> s.close());
-        Server other = host((m, s) -> s.close());
-        Client c = client(nodeBefore(host, other));
+        Server host = startHost((m, s) -> s.close());
+        Server other = startHost((m, s) -> s.close());
+        Client c = connectClient(startNodeWithHosts(host, other));
         order(c, "o", content(LONG));
         assertEquals(502, c.receive().status());
         assertEquals(1, host.asked.size() + other.asked.size());
@@ -203,7 +203,7 @@
                 }
             });
             host.start();
-            Client c = client(nodeWith(entry("h", "127.0.0.1:" + waiting.getLocalPort(), "ready")));
+            Client c = connectClient(startNodeWithEntries(entry("h", "127.0.0.1:" + waiting.getLocalPort(), "ready")));
             c.send(head("o", "Content-Length: " + LONG));
             c.socket.getOutputStream().write(new byte[LONG / 2]);
             c.close();
@@ -215,14 +215,14 @@
     @Test
     void aBodyThatBecomesUnreadableEndsItsConnection() throws Exception {
         CompletableFuture<Integer> got = new CompletableFuture<>();
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             try {
                 got.complete(LongAnswersTest.chunks(s.getInputStream()).length);
             } catch (IOException | RuntimeException e) {
                 got.complete(-1);
             }
         });
-        Client c = client(nodeBefore(host)).send(head("o", "Transfer-Encoding: chunked"));
+        Client c = connectClient(startNodeWithHosts(host)).send(head("o", "Transfer-Encoding: chunked"));
         c.send(Integer.toHexString(2 * PART) + "\r\n");
         c.socket.getOutputStream().write(new byte[2 * PART]);
         c.send("\r\n");
@@ -234,8 +234,8 @@
     /** Clients may send all before they read: what nobody wants is read, and the connection goes on behind it. */
     @Test
     void aLongBodyBeyondTheQuotaIsRefusedAndItsConnectionStays() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
+        Server host = startHost(SocketTest::echo);
+        Client c = connectClient(startNodeWithHosts(host));
         for (int i = 0; i < 3; i++) {
             c.send(head("o" + i, "Content-Length: " + LONG).replace("X-Plan: free", "X-Plan: tiny")
                     .replace("units=1", "units=4"));
@@ -248,8 +248,8 @@
 
     @Test
     void aLongBodyWhereNoneMayBeIsTurnedAwayAndItsConnectionStays() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
+        Server host = startHost(SocketTest::echo);
+        Client c = connectClient(startNodeWithHosts(host));
         String get = view("v", Sockets.PATIENCE_MS);
         c.send(get.substring(0, get.length() - 2) + "Content-Length: " + LONG + "\r\n\r\n");
         c.socket.getOutputStream().write(new byte[LONG]);
@@ -258,36 +258,36 @@
         assertEquals(1, host.asked.size());
     }
 
-    private static final int WAITS = ClientServer.MAX_BODY + 20_000; // long, and all of it is read while it waits its turn
+    private static final int WAITS = ClientServer.MAX_BUFFERED_BODY_BYTES + 20_000; // long, and all of it is read while it waits its turn
 
     /** What is behind the kept part of a body that waits came to nobody, and was once never released. */
     @Test
     void aLongBodyThatWaitsEndsWithItsClient() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             left.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(host);
+        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
         order(c, "o", content(WAITS));
         c.close();
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "the gateway has seen the client leave");
+        Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway has seen the client leave");
         left.countDown();
-        goesOn(client(node));
+        goesOn(connectClient(node));
     }
 
     /** The same where it is refused in its turn, all of it being there. */
     @Test
     void aLongBodyThatWaitedAndIsRefusedIsReleased() throws Exception {
         CountDownLatch read = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             read.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
-        Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(host);
+        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
         c.send(head("o", "Content-Length: " + WAITS)
                 .replace("X-Plan: free", "X-Plan: tiny").replace("b4d65521", "b4d65522").replace("units=1", "units=4"));
--- a/gateway/src/test/java/marlford/gateway/net/MeetingsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/MeetingsTest.java
@@ -182,11 +182,11 @@
         }
 
         @Override
-        void claim(InetSocketAddress address) { }
+        void verifyUnused(InetSocketAddress address) { }
 
         @Override
-        SocketAddress at(InetSocketAddress address) {
-            return MEMORY.at(address);
+        SocketAddress socketAddress(InetSocketAddress address) {
+            return MEMORY.socketAddress(address);
         }
     };
     private Run run; // the one under way
@@ -207,7 +207,7 @@
                                 }
                             });
                 }
-            }).bind(Transport.MEMORY.at(address(HOST_PORTS[i]))).sync().channel());
+            }).bind(Transport.MEMORY.socketAddress(address(HOST_PORTS[i]))).sync().channel());
         }
     }
 
@@ -265,7 +265,7 @@
             for (int i = 0; i < HOST_PORTS.length; i++) {
                 list.add(entry(i, HostState.RUNNING));
             }
-            inside.submit(() -> node.hostsTold(ListKind.FULL, list)).sync();
+            inside.submit(() -> node.onHostsUpdated(ListKind.FULL, list)).sync();
             client = Transport.MEMORY.client(outside.next()).handler(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -278,7 +278,7 @@
                         received.writeBytes(copy);
                     }
                 }
-            }).connect(Transport.MEMORY.at(node.config.listen())).sync().channel();
+            }).connect(Transport.MEMORY.socketAddress(node.config.listen())).sync().channel();
         }
 
         private Discovery.Entry entry(int host, HostState state) {
@@ -363,7 +363,7 @@
                 }).sync();
                 case TIME -> {
                     clock.move(PATIENCE_MS);
-                    inside.submit(() -> node.deadline(id)).sync();
+                    inside.submit(() -> node.onDeadline(id)).sync();
                 }
                 case LEAVES -> {
                     client.close().sync();
@@ -372,9 +372,9 @@
                 }
                 case DRAINS -> drain(a == null ? 0 : a.host);
                 case GRACE -> clock.move(GRACE_MS + 1);
-                case AWAY -> inside.submit(node::leave).sync();
+                case AWAY -> inside.submit(node::releaseClients).sync();
                 case ENDS -> {
-                    inside.submit(node::endAll).sync();
+                    inside.submit(node::endAllRequests).sync();
                     settle();
                     ended = true;
                 }
@@ -404,7 +404,7 @@
                     drainedAt[i] = Double.isNaN(drainedAt[i]) ? clock.now() : drainedAt[i];
                 }
             }
-            inside.submit(() -> node.hostsTold(ListKind.CHANGES, changes)).sync();
+            inside.submit(() -> node.onHostsUpdated(ListKind.CHANGES, changes)).sync();
         }
 
         /** What a gateway at fault would send, from beside. */
@@ -414,7 +414,7 @@
                     || planted == Planted.SENT_AFTER_GRACE && after == Event.GRACE;
             if (now) {
                 Channel beside = Transport.MEMORY.client(outside.next()).handler(new ChannelInboundHandlerAdapter())
-                        .connect(Transport.MEMORY.at(address(HOST_PORTS[0]))).sync().channel();
+                        .connect(Transport.MEMORY.socketAddress(address(HOST_PORTS[0]))).sync().channel();
                 say(beside, request());
                 settle();
                 beside.close().sync();
--- a/gateway/src/test/java/marlford/gateway/net/NodeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/NodeTest.java
@@ -48,11 +48,11 @@
         for (int i = 0; i < body.length; i++) {
             body[i] = (byte) (i * 31);
         }
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             s.getOutputStream().write(body);
         });
-        Client c = client(nodeBefore(host));
+        Client c = connectClient(startNodeWithHosts(host));
         Message answer = c.send(order("id-1", "two copies")).receive();
         assertEquals(200, answer.status());
         assertArrayEquals(body, answer.body());
@@ -68,10 +68,10 @@
 
     @Test
     void aHostThatRefusesConnectionsCostsNoRequest() throws Exception {
-        Server host = host(NodeTest::echo);
-        Node node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
+        Server host = startHost(NodeTest::echo);
+        Node node = startNodeWithEntries(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
-            assertEquals("for o" + i + " b", client(node).send(order("o" + i, "b")).receive().text());
+            assertEquals("for o" + i + " b", connectClient(node).send(order("o" + i, "b")).receive().text());
         }
         assertEquals(10, host.asked.size());
     }
@@ -79,25 +79,25 @@
     /** It may have run, so the client must not be told that a further try is harmless (rule 2). */
     @Test
     void aKeyedRequestWhoseConnectionsBreakFailsAndIsNotRefused() throws Exception {
-        Server host = host((m, s) -> s.close());
-        int status = client(nodeBefore(host)).send(order("o", "b")).receive().status();
+        Server host = startHost((m, s) -> s.close());
+        int status = connectClient(startNodeWithHosts(host)).send(order("o", "b")).receive().status();
         assertEquals(502, status);
         assertEquals(3, host.asked.size());
     }
 
     @Test
     void aRequestThatNeverRanIsRefusedWithATimeToComeBack() throws Exception {
-        Server host = host((m, s) -> s.getOutputStream()
+        Server host = startHost((m, s) -> s.getOutputStream()
                 .write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
-        Message answer = client(nodeBefore(host)).send(order("o", "b")).receive();
+        Message answer = connectClient(startNodeWithHosts(host)).send(order("o", "b")).receive();
         assertEquals(429, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
     }
 
     @Test
     void excessIsRefusedAtOnceWithATimeToComeBack() throws Exception {
-        Server host = host(NodeTest::echo);
-        Client c = client(nodeBefore(host));
+        Server host = startHost(NodeTest::echo);
+        Client c = connectClient(startNodeWithHosts(host));
         String tiny = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         Message answer = c.send(tiny).receive();
@@ -109,8 +109,8 @@
     /** Another plan in the same customer's name once opened new books, with a full store. */
     @Test
     void anotherPlanClaimedRefillsNoStore() throws Exception {
-        Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host));
+        Server host = startHost(SocketTest::echo);
+        Client c = connectClient(startNodeWithHosts(host));
         String free = view("t", Sockets.PATIENCE_MS);
         String tiny = free.replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
@@ -123,7 +123,7 @@
     @Test
     void halfAnAnswerIsNeverServed() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (asked.incrementAndGet() > 1) {
                 echo(m, s);
                 return;
@@ -131,14 +131,14 @@
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"));
             s.close();
         });
-        assertEquals("for v ", client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for v ", connectClient(startNodeWithHosts(host)).send(view("v", Sockets.PATIENCE_MS)).receive().text());
         assertEquals(2, asked.get());
     }
 
     @Test
     void anAttemptEndsWithItsClient() throws Exception {
-        Server host = host((m, s) -> { });
-        Client c = client(nodeBefore(host));
+        Server host = startHost((m, s) -> { });
+        Client c = connectClient(startNodeWithHosts(host));
         c.send(view("v", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
         c.close();
@@ -149,13 +149,13 @@
     @Test
     void aLateAnswerReachesNoOtherRequest() throws Exception {
         CountDownLatch timeIsUp = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
                 timeIsUp.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        Client c = client(nodeBefore(host));
+        Client c = connectClient(startNodeWithHosts(host));
         assertNotEquals(200, c.send(view("slow", 300)).receive().status());
         timeIsUp.countDown();
         for (int i = 0; i < 5; i++) {
@@ -165,8 +165,8 @@
 
     @Test
     void badRequestsAreToldSoAndReachNoHost() throws Exception {
-        Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
+        Server host = startHost(NodeTest::echo);
+        Node node = startNodeWithHosts(host);
         String good = view("v", 1000);
         for (String bad : List.of(good.replace("X-Plan: free\r\n", ""), good.replace("X-Plan: free", "X-Plan: none"),
                 good.replace("/view/", "/nothing/"), good.replace("units=1", "units=x"),
@@ -174,18 +174,18 @@
                 good.replace("spread=1,", ""), good.replace("GET", "POST").replace("\r\n\r\n",
                         "\r\nContent-Length: 0\r\n\r\n"),
                 order("o", "b").replace("Idempotency-Key", "X-Other"), "nonsense\r\n\r\n")) {
-            assertEquals(400, client(node).send(bad).receive().status(), bad);
+            assertEquals(400, connectClient(node).send(bad).receive().status(), bad);
         }
-        assertEquals(404, client(node).send("GET /favicon.ico HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
-        assertEquals(413, client(node).send("POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", 1000)
+        assertEquals(404, connectClient(node).send("GET /favicon.ico HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
+        assertEquals(413, connectClient(node).send("POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", 1000)
                 + "Idempotency-Key: k\r\nContent-Length: 60000000\r\n\r\n").receive().status());
-        assertEquals(200, client(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
+        assertEquals(200, connectClient(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
         assertEquals(List.of(), host.asked);
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        Client c = client(nodeBefore(host(NodeTest::echo)));
+        Client c = connectClient(startNodeWithHosts(startHost(NodeTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             all.append(view("p" + i, Sockets.PATIENCE_MS));
@@ -198,16 +198,16 @@
 
     @Test
     void aDrainingHostGetsNothingNewAndAMovedOneIsFollowed() throws Exception {
-        Server old = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(old);
-        Client c = client(node);
+        Server old = startHost(NodeTest::echo);
+        Server fresh = startHost(NodeTest::echo);
+        Node node = startNodeWithHosts(old);
+        Client c = connectClient(node);
         assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        awaitWatches(1);
+        awaitDiscoveryWatches(1);
         registry.news.add(list(2, false, entry("h0", old.address(), "draining"),
                 entry("h1", DEAD, "ready")));
         registry.news.add(list(3, false, entry("h1", fresh.address(), "ready")));
-        awaitWatches(3);
+        awaitDiscoveryWatches(3);
         for (int i = 0; i < 5; i++) {
             assertEquals(200, c.send(view("b" + i, Sockets.PATIENCE_MS)).receive().status());
         }
@@ -217,13 +217,13 @@
 
     @Test
     void aFullListDropsTheHostsThatItDoesNotName() throws Exception {
-        Server old = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(old);
-        awaitWatches(1);
+        Server old = startHost(NodeTest::echo);
+        Server fresh = startHost(NodeTest::echo);
+        Node node = startNodeWithHosts(old);
+        awaitDiscoveryWatches(1);
         registry.news.add(list(9, true, entry("h1", fresh.address(), "ready")));
-        awaitWatches(2);
-        assertEquals(200, client(node).send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        awaitDiscoveryWatches(2);
+        assertEquals(200, connectClient(node).send(view("a", Sockets.PATIENCE_MS)).receive().status());
         assertEquals(0, old.asked.size());
     }
 
@@ -231,14 +231,14 @@
     @Test
     void aBrokenWatchGoesOnFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Server broken = kept(new Server((m, s) -> {
+        Server broken = closeAfterTest(new Server((m, s) -> {
             if (!m.start().contains("from=")) {
                 s.getOutputStream().write(ok(list(7, true)));
             } else if (calls.incrementAndGet() < 4) {
                 s.close();
             }
         }));
-        running(Sockets.config(broken.address(), "127.0.0.1:0"));
+        startNode(Sockets.config(broken.address(), "127.0.0.1:0"));
         for (int i = 0; i < 5; i++) {
             String call = broken.next().start();
             assertEquals(i > 0, call.contains("from=7&"), call);
@@ -248,14 +248,14 @@
     /** One entry that can't be read once threw the whole list away, and again each time it was asked for. */
     @Test
     void aMalformedEntryCostsOnlyItsOwnHost() throws Exception {
-        Server known = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
-        Node node = nodeBefore(known);
-        awaitWatches(1);
+        Server known = startHost(NodeTest::echo);
+        Server fresh = startHost(NodeTest::echo);
+        Node node = startNodeWithHosts(known);
+        awaitDiscoveryWatches(1);
         registry.news.add(list(2, false, entry("h0", known.address(), "resting"), entry("h7", "nowhere", "ready"),
                 "{}", entry("h1", fresh.address(), "ready")));
-        awaitWatches(2);
-        Client c = client(node);
+        awaitDiscoveryWatches(2);
+        Client c = connectClient(node);
         for (int i = 0; i < 5; i++) {
             assertEquals(200, c.send(view("a" + i, Sockets.PATIENCE_MS)).receive().status());
         }
@@ -266,23 +266,23 @@
     /** The old agent may have an answer under way, whose hosts are those of before the move. */
     @Test
     void anAgentThatWasLeftIsNotHeard() throws Exception {
-        Server gone = host(NodeTest::echo);
-        Server fresh = host(NodeTest::echo);
+        Server gone = startHost(NodeTest::echo);
+        Server fresh = startHost(NodeTest::echo);
         CountDownLatch moved = new CountDownLatch(1);
-        Server old = kept(new Server((m, s) -> {
+        Server old = closeAfterTest(new Server((m, s) -> {
             moved.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(ok(list(900, true, entry("h0", gone.address(), "ready"))));
         }));
-        Node node = running(Sockets.config(old.address(), "127.0.0.1:0"));
+        Node node = startNode(Sockets.config(old.address(), "127.0.0.1:0"));
         assertNotNull(old.next());
-        registry = kept(new Registry(list(1, true, entry("h1", fresh.address(), "ready"))));
+        registry = closeAfterTest(new Registry(list(1, true, entry("h1", fresh.address(), "ready"))));
         node.reload(NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
                 .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
-        awaitWatches(1);
+        awaitDiscoveryWatches(1);
         moved.countDown();
         assertNotNull(old.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         for (int i = 0; i < 5; i++) {
-            assertEquals("for v" + i + " ", client(node).send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for v" + i + " ", connectClient(node).send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
         }
         assertEquals(5, fresh.asked.size());
     }
@@ -299,9 +299,9 @@
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String mine = "127.0.0.1:" + port;
-            Server host = host(NodeTest::echo);
-            registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-            Node node = running(Sockets.config(registry.server.address(), mine, mine,
+            Server host = startHost(NodeTest::echo);
+            registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+            Node node = startNode(Sockets.config(registry.server.address(), mine, mine,
                     "127.0.0.1:" + peer.getLocalPort()));
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             for (DatagramSocket from : List.of(stranger, peer)) {
@@ -313,7 +313,7 @@
             for (int i = 0; i < 8; i++) {
                 String shared = view("s" + i, Sockets.PATIENCE_MS).replace("spread=1", "spread=2")
                         .replace("b4d65521", "b4d6552" + i);
-                assertEquals(200, client(node).send(shared).receive().status());
+                assertEquals(200, connectClient(node).send(shared).receive().status());
             }
             peer.setSoTimeout(Sockets.PATIENCE_MS);
             DatagramPacket told = new DatagramPacket(new byte[1000], 1000);
@@ -325,9 +325,9 @@
     /** What waited in its socket while the loop was busy was once sent on as new, and answered to nobody. */
     @Test
     void whatABusyLoopReadsTooLateIsRefusedAtOnce() throws Exception {
-        Server host = host(NodeTest::echo);
-        Node node = nodeBefore(host);
-        Client client = client(node);
+        Server host = startHost(NodeTest::echo);
+        Node node = startNodeWithHosts(host);
+        Client client = connectClient(node);
         assertEquals(200, client.send(view("r1", Sockets.PATIENCE_MS)).receive().status());
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch sent = new CountDownLatch(1);
@@ -360,15 +360,15 @@
                 DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String mine = "127.0.0.1:" + port;
-            registry = kept(new Registry(list(1, true)));
-            Node node = running(Sockets.config(registry.server.address(), mine, mine,
+            registry = closeAfterTest(new Registry(list(1, true)));
+            Node node = startNode(Sockets.config(registry.server.address(), mine, mine,
                     "127.0.0.1:" + peer.getLocalPort()));
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             stranger.send(new DatagramPacket(new byte[8], 8, to));
-            assertFalse(node.isMissed());
+            assertFalse(node.hasHeardFromPeers());
             peer.send(new DatagramPacket(new byte[8], 8, to));
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-            while (!node.isMissed()) {
+            while (!node.hasHeardFromPeers()) {
                 assertTrue(System.nanoTime() < end, "the peer was not heard");
                 Thread.sleep(5);
             }
@@ -378,16 +378,16 @@
     @Test
     void whatIsOpenAtADrainIsAnsweredAndItsConnectionClosed() throws Exception {
         CountDownLatch draining = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             draining.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Node node = nodeBefore(host);
-        Client busy = client(node).send(view("v", Sockets.PATIENCE_MS));
-        Client idle = client(node);
+        Node node = startNodeWithHosts(host);
+        Client busy = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client idle = connectClient(node);
         assertNotNull(host.next());
         node.loop.submit(node::drain).sync();
-        Client late = client(node).send(view("w", Sockets.PATIENCE_MS)); // clients still come for a while
+        Client late = connectClient(node).send(view("w", Sockets.PATIENCE_MS)); // clients still come for a while
         draining.countDown();
         for (Client c : List.of(busy, late)) {
             Message answer = c.receive();
@@ -402,15 +402,15 @@
     /** Nobody has its place yet: who is connected is served, and only health says that an end is near. */
     @Test
     void aDrainAmongOthersServesWhoeverIsConnected() throws Exception {
-        Node node = nodeBefore(host(SocketTest::echo));
-        Client regular = client(node).send(view("v", Sockets.PATIENCE_MS));
+        Node node = startNodeWithHosts(startHost(SocketTest::echo));
+        Client regular = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
         assertEquals(200, regular.receive().status());
         node.loop.submit(() -> node.drainAfter(Sockets.PATIENCE_MS)).sync();
-        assertEquals(503, client(node).send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
+        assertEquals(503, connectClient(node).send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
         Message answer = regular.send(view("w", Sockets.PATIENCE_MS)).receive();
         assertEquals(200, answer.status());
         assertNull(answer.header("Connection"));
-        node.loop.submit(node::leave).sync();
+        node.loop.submit(node::releaseClients).sync();
         Client last = regular.send(view("x", Sockets.PATIENCE_MS));
         assertEquals("close", last.receive().header("Connection"));
         assertNull(last.receive());
@@ -419,9 +419,9 @@
     /** Nothing may be left open when the process is killed: what still runs then is failed or refused before. */
     @Test
     void aDrainEndsWhatAHostNeverAnswers() throws Exception {
-        Server host = host((m, s) -> { });
-        Node node = nodeBefore(host);
-        Client c = client(node).send(order("o", "b"));
+        Server host = startHost((m, s) -> { });
+        Node node = startNodeWithHosts(host);
+        Client c = connectClient(node).send(order("o", "b"));
         assertNotNull(host.next());
         node.loop.submit(node::drain).sync();
         assertEquals(502, c.receive().status());
@@ -431,19 +431,19 @@
     /** Effects come from the settings alone, also where two nodes of one process know a class by the same name. */
     @Test
     void oneNodesSettingsAreNotAnothers() throws Exception {
-        Server host = host((m, s) -> s.close());
-        Node repeats = nodeBefore(host);
+        Server host = startHost((m, s) -> s.close());
+        Node repeats = startNodeWithHosts(host);
         String once = Sockets.config(registry.server.address(), "127.0.0.1:0").replace("repeatable", "once");
-        Node never = running(once);
+        Node never = startNode(once);
         String unsafe = view("u", Sockets.PATIENCE_MS).replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n");
         for (int i = 1; i <= 3; i++) {
-            assertEquals(429, client(repeats).send(view("v" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(429, connectClient(repeats).send(view("v" + i, Sockets.PATIENCE_MS)).receive().status());
             assertEquals(4 * i - 1, host.asked.size(), "three attempts of what may be repeated");
-            assertEquals(502, client(never).send(unsafe.replace("/u?", "/u" + i + "?")).receive().status());
+            assertEquals(502, connectClient(never).send(unsafe.replace("/u?", "/u" + i + "?")).receive().status());
             assertEquals(4 * i, host.asked.size(), "one of what may not");
         }
-        assertEquals(400, client(repeats).send(unsafe).receive().status());
-        assertEquals(400, client(never).send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(400, connectClient(repeats).send(unsafe).receive().status());
+        assertEquals(400, connectClient(never).send(view("v", Sockets.PATIENCE_MS)).receive().status());
     }
 
     /** A module that does only what a test says of a request. */
@@ -455,9 +455,9 @@
     }
 
     private Node scripted(Function<Actions, Events> module) throws IOException {
-        registry = kept(new Registry(list(1, true)));
+        registry = closeAfterTest(new Registry(list(1, true)));
         Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), module);
-        ends.push(node::stop);
+        resources.push(node::stop);
         return node;
     }
 
@@ -470,7 +470,7 @@
             }
             act.refuse(r.id(), 100);
         }));
-        Client c = client(node);
+        Client c = connectClient(node);
         assertEquals(504, c.send(view("v", 300)).receive().status());
         assertEquals(429, c.send(order("o", "b")).receive().status());
     }
@@ -485,7 +485,7 @@
             act.refuse(r.id(), 100);
             act.refuse(r.id(), 100);
         }));
-        Client c = client(node);
+        Client c = connectClient(node);
         assertEquals(502, c.send(view("v", Sockets.PATIENCE_MS)).receive().status());
         assertEquals(429, c.send(order("o", "b")).receive().status());
         assertEquals(502, c.send(view("w", Sockets.PATIENCE_MS)).receive().status());
@@ -495,20 +495,20 @@
     @Test
     void idleConnectionsGiveWayBeforeDescriptorsRunOut() throws Exception {
         CountDownLatch crowded = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
                 crowded.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = running(Sockets.config(registry.server.address(), "127.0.0.1:0")
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        Node node = startNode(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 20"));
-        Client held = client(node).send(view("held", Sockets.PATIENCE_MS));
+        Client held = connectClient(node).send(view("held", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
-        Client first = client(node);
+        Client first = connectClient(node);
         for (int i = 0; i < 30; i++) {
-            assertEquals("for v" + i + " ", client(node).send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for v" + i + " ", connectClient(node).send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
         }
         assertNull(first.receive());
         crowded.countDown();
@@ -544,7 +544,7 @@
                     () -> NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper().readTree(bad)));
             assertEquals(1, e.getMessage().lines().count());
         }
-        NodeConfig.BadConfig missing = assertThrows(NodeConfig.BadConfig.class, () -> NodeConfig.bytes("/no/such/file"));
+        NodeConfig.BadConfig missing = assertThrows(NodeConfig.BadConfig.class, () -> NodeConfig.readFile("/no/such/file"));
         assertEquals(1, missing.getMessage().lines().count());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
@@ -388,7 +388,7 @@
         Path tmp = Files.createDirectories(dir.resolve("tmp"));
         CountDownLatch replaced = new CountDownLatch(1);
         Node before = Sockets.node(config);
-        try (Successor successor = new Successor(RuntimeDirectory.before(tmp.toString(), "n0").successor(), before.place(() -> { }), line -> {
+        try (Successor successor = new Successor(RuntimeDirectory.ofEarlierVersion(tmp.toString(), "n0").successorSocket(), before.handoverSteps(() -> { }), line -> {
             if (line.equals("upgrade: the new process serves")) {
                 replaced.countDown();
             }
--- a/gateway/src/test/java/marlford/gateway/net/QueuedRequestOutlivesItsClientTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/QueuedRequestOutlivesItsClientTest.java
@@ -22,15 +22,15 @@
     @Test
     void whatWaitsBehindAnotherIsToldWhatIsLeft() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
                 released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(host, clock);
-        Client c = client(node).send(view("held", PATIENCE_MS) + view("waits", PATIENCE_MS));
+        Node node = startNodeWithHosts(host, clock);
+        Client c = connectClient(node).send(view("held", PATIENCE_MS) + view("waits", PATIENCE_MS));
         assertNotNull(host.next());
         for (int i = 0; i < 2; i++) {
             node.loop.submit(() -> { }).get();
@@ -47,18 +47,18 @@
     /** Connections that come faster than they are accepted wait behind each other, and their requests with them. */
     @Test
     void whatWaitsToBeAcceptedIsToldWhatIsLeft() throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(host, clock);
-        node.loop.submit(node.clients::pause).get();
+        Node node = startNodeWithHosts(host, clock);
+        node.loop.submit(node.clientServer::pauseAccepting).get();
         for (int i = 0; i < BEFORE; i++) {
-            client(node);
+            connectClient(node);
         }
-        Client last = client(node).send(view("waits", PATIENCE_MS));
-        node.loop.submit(() -> Transport.readNow(node.clients.listener())).get(); // a part of those that wait
+        Client last = connectClient(node).send(view("waits", PATIENCE_MS));
+        node.loop.submit(() -> Transport.readNow(node.clientServer.listener())).get(); // a part of those that wait
         clock.move(HELD_MS);
         node.loop.schedule(() -> { }, BEATS_MS, TimeUnit.MILLISECONDS).get(); // the loop itself is not late
-        node.loop.submit(() -> Transport.readNow(node.clients.listener())).get();
+        node.loop.submit(() -> Transport.readNow(node.clientServer.listener())).get();
         assertEquals("for waits ", last.receive().text());
         int told = Integer.parseInt(host.next().header("X-Expires-In-Ms"));
         assertTrue(told <= PATIENCE_MS - HELD_MS + SLACK_MS, "told " + told);
--- a/gateway/src/test/java/marlford/gateway/net/SocketTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/SocketTest.java
@@ -51,7 +51,7 @@
         public void close() { }
     };
 
-    final Deque<Closeable> ends = new ArrayDeque<>();
+    final Deque<Closeable> resources = new ArrayDeque<>();
     Registry registry;
 
     @BeforeAll
@@ -72,20 +72,20 @@
 
     @AfterEach
     void close() throws IOException {
-        for (Closeable resource : ends) {
+        for (Closeable resource : resources) {
             resource.close();
         }
     }
 
     /** Closes a resource after the test; the latest is closed first. */
-    <T extends Closeable> T kept(T resource) {
-        ends.push(resource);
+    <T extends Closeable> T closeAfterTest(T resource) {
+        resources.push(resource);
         return resource;
     }
 
     /** Starts a host with scripted responses. */
-    Server host(Sockets.Answer answer) throws IOException {
-        return kept(new Server(answer));
+    Server startHost(Sockets.Answer answer) throws IOException {
+        return closeAfterTest(new Server(answer));
     }
 
     /** Responds with the request's trace id and body. */
@@ -94,61 +94,61 @@
     }
 
     /** Starts a node whose discovery lists these entries. */
-    Node nodeWith(String... entries) throws IOException {
-        registry = kept(new Registry(list(1, true, entries)));
-        return running(Sockets.config(registry.server.address(), "127.0.0.1:0"));
+    Node startNodeWithEntries(String... entries) throws IOException {
+        registry = closeAfterTest(new Registry(list(1, true, entries)));
+        return startNode(Sockets.config(registry.server.address(), "127.0.0.1:0"));
     }
 
     /** Starts a node with this configuration. */
-    Node running(String config) throws IOException {
+    Node startNode(String config) throws IOException {
         Node node = Sockets.node(config);
-        ends.push(node::stop);
+        resources.push(node::stop);
         return node;
     }
 
     /** Starts a node with this configuration and a test clock. */
-    Node of(String config, MovedClock clock) throws IOException {
+    Node startNodeWithClock(String config, MovedClock clock) throws IOException {
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), DecisionEngine::new, Transport.TCP,
                 new NioEventLoopGroup(1), clock);
-        ends.push(node::stop);
+        resources.push(node::stop);
         node.start();
         return node;
     }
 
     /** Starts a node with one host and a test clock. */
-    Node nodeBefore(Server host, MovedClock clock) throws IOException {
-        return of(configFor(host), clock);
+    Node startNodeWithHosts(Server host, MovedClock clock) throws IOException {
+        return startNodeWithClock(configFor(host), clock);
     }
 
     /** Starts a node with one host and a test decision engine. */
-    Node nodeBefore(Server host, Function<Actions, Events> engine) throws IOException {
+    Node startNodeWithHosts(Server host, Function<Actions, Events> engine) throws IOException {
         Node node = Sockets.node(configFor(host), engine);
-        ends.push(node::stop);
+        resources.push(node::stop);
         return node;
     }
 
     /** Returns a configuration whose discovery lists one host. */
     private String configFor(Server host) throws IOException {
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         return Sockets.config(registry.server.address(), "127.0.0.1:0");
     }
 
     /** Starts a node with these hosts, with the ids h0, h1 and so on. */
-    Node nodeBefore(Server... hosts) throws IOException {
+    Node startNodeWithHosts(Server... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = entry("h" + i, hosts[i].address(), "ready");
         }
-        return nodeWith(entries);
+        return startNodeWithEntries(entries);
     }
 
     /** Connects a client to a node. */
-    Client client(Node node) throws IOException {
-        return kept(new Client(node));
+    Client connectClient(Node node) throws IOException {
+        return closeAfterTest(new Client(node));
     }
 
     /** Waits until discovery has received this many watches for changes. */
-    void awaitWatches(int count) throws InterruptedException {
+    void awaitDiscoveryWatches(int count) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
         while (registry.server.asked.stream().filter(message -> message.start().contains("from=")).count() < count) {
             assertTrue(System.nanoTime() < deadline, "discovery received fewer than " + count + " watches");
--- a/gateway/src/test/java/marlford/gateway/net/StartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StartTest.java
@@ -27,9 +27,9 @@
 
         String address(StartTest test) throws IOException {
             if (this == NEVER_UP) {
-                return test.kept(new Door()).address();
+                return test.closeAfterTest(new Door()).address();
             }
-            return test.kept(new Server((m, s) -> {
+            return test.closeAfterTest(new Server((m, s) -> {
                 switch (this) {
                     case TURNS_AWAY -> s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"));
                     case HUGE_LIST -> {
@@ -60,13 +60,13 @@
         String silentPeers = Sockets.config(agent.address(this), "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:2")
                 .replace("\"servers\": []", "\"servers\": [" + known + "]");
         Node node = Sockets.unstarted(silentPeers);
-        ends.push(node::stop);
+        resources.push(node::stop);
         assertTrue(node.start(null, new StartBudget(() -> ageMs)));
         return node;
     }
 
     private int health(Node node) throws Exception {
-        return client(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status();
+        return connectClient(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status();
     }
 
     /** A restart has the list of before. */
--- a/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
@@ -65,14 +65,14 @@
     }
 
     private Node before(Server host) throws IOException {
-        registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        Node node = running(config());
+        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        Node node = startNode(config());
         waitingForNext(node);
         return node;
     }
 
     private void waitingForNext(Node node) throws IOException {
-        Successor successor = kept(new Successor(path(), node.place(() -> { }), Node::log));
+        Successor successor = closeAfterTest(new Successor(path(), node.handoverSteps(() -> { }), Node::log));
         successor.open();
     }
 
@@ -84,12 +84,12 @@
     private Predecessor predecessor() throws Exception {
         Predecessor old = Predecessor.find(path(), Sockets.PATIENCE_MS);
         assertNotNull(old);
-        return kept(old);
+        return closeAfterTest(old);
     }
 
     private Node after(String config) throws Exception {
         Node node = Sockets.unstarted(config);
-        ends.push(node::stop);
+        resources.push(node::stop);
         node.start(predecessor(), inTime());
         return node;
     }
@@ -147,7 +147,7 @@
     @Test
     void noRequestIsLostThroughUpgradesInARow() throws Exception {
         AtomicInteger orders = new AtomicInteger();
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (m.start().startsWith("POST")) {
                 orders.incrementAndGet();
             }
@@ -184,47 +184,47 @@
     @Test
     void whatTheOldProcessHoldsIsAnsweredThere() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
-        Server host = host((m, s) -> {
+        Server host = startHost((m, s) -> {
             if (m.start().startsWith("POST")) {
                 held.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
         Node old = before(host);
-        Client busy = client(old).send(order("o", "b"));
-        Client idle = client(old).send(view("v", Sockets.PATIENCE_MS));
+        Client busy = connectClient(old).send(order("o", "b"));
+        Client idle = connectClient(old).send(view("v", Sockets.PATIENCE_MS));
         assertEquals(200, idle.receive().status());
-        Client silent = client(old); // it has yet to ask
+        Client silent = connectClient(old); // it has yet to ask
         assertNotNull(host.next());
-        while (old.loop.submit(old::connections).sync().getNow() < 3) {
+        while (old.loop.submit(old::connectionCount).sync().getNow() < 3) {
             Thread.sleep(1);
         }
         Node fresh = after(config());
         assertNull(idle.receive());
         assertEquals("for late ", silent.send(view("late", Sockets.PATIENCE_MS)).receive().text());
         assertNull(silent.receive());
-        assertEquals("for new ", client(fresh).send(view("new", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for new ", connectClient(fresh).send(view("new", Sockets.PATIENCE_MS)).receive().text());
         held.countDown();
         Message answer = busy.receive();
         assertEquals("for o b", answer.text());
         assertEquals("close", answer.header("Connection"));
         assertEquals(1, host.asked.stream().filter(m -> m.start().startsWith("POST")).count());
         old.stop();
-        assertEquals("for on ", client(fresh).send(view("on", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for on ", connectClient(fresh).send(view("on", Sockets.PATIENCE_MS)).receive().text());
     }
 
     @Test
     void aNewProcessThatDiesGivesThePlaceBack() throws Exception {
-        Server host = host(SocketTest::echo);
+        Server host = startHost(SocketTest::echo);
         Node old = before(host);
         Node fresh = Sockets.unstarted(config());
         Predecessor link = predecessor();
         fresh.start(link, inTime());
-        assertEquals("for a ", client(fresh).send(view("a", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for a ", connectClient(fresh).send(view("a", Sockets.PATIENCE_MS)).receive().text());
         fresh.stop();
         link.close();
         Sockets.await(() -> serves("b"), "somebody serves");
-        Client kept = client(old).send(view("c", Sockets.PATIENCE_MS));
+        Client kept = connectClient(old).send(view("c", Sockets.PATIENCE_MS));
         assertNull(kept.receive().header("Connection")); // and connections stay again
         assertEquals(200, kept.send(view("d", Sockets.PATIENCE_MS)).receive().status());
     }
@@ -243,16 +243,16 @@
     /** Datagrams to the shared address reach the process that decides, also after it has fallen back. */
     @Test
     void peersAreHeardByTheProcessThatServes() throws Exception {
-        registry = kept(new Registry(list(1, true)));
+        registry = closeAfterTest(new Registry(list(1, true)));
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             String config = config("127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
-            Node old = running(config);
+            Node old = startNode(config);
             waitingForNext(old);
             Node fresh = Sockets.unstarted(config);
             Predecessor link = predecessor();
             fresh.start(link, inTime());
             awaitMissed(peer, fresh);
-            assertTrue(!old.isMissed());
+            assertTrue(!old.hasHeardFromPeers());
             fresh.stop();
             link.close();
             awaitMissed(peer, old);
@@ -262,16 +262,16 @@
     private void awaitMissed(DatagramSocket peer, Node node) throws Exception {
         Sockets.await(() -> {
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
-            return node.isMissed();
+            return node.hasHeardFromPeers();
         }, "the peer is heard");
     }
 
     /** The option that two processes of one gateway need must not let two gateways share an address. */
     @Test
     void anAddressThatSomebodyElseHasIsNotShared() throws Exception {
-        before(host(SocketTest::echo));
+        before(startHost(SocketTest::echo));
         Node stranger = Sockets.unstarted(config());
-        ends.push(stranger::stop);
+        resources.push(stranger::stop);
         IOException e = assertThrows(IOException.class, stranger::start);
         assertTrue(e.getMessage().contains("somebody else has the address"), e.getMessage());
         assertTrue(serves("v"));
--- a/gateway/src/test/java/marlford/gateway/net/WarmUpTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/WarmUpTest.java
@@ -55,8 +55,8 @@
     @Test
     void leavesTheRealNodeUnchanged() throws Exception {
         WarmUp.run(config(), ANSWERS, Sockets.PATIENCE_MS, () -> false);
-        Server host = host(SocketTest::echo);
-        Client client = client(nodeBefore(host));
+        Server host = startHost(SocketTest::echo);
+        Client client = connectClient(startNodeWithHosts(host));
         Message answer = client.send(view("r1", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny")
                 .replace("00000000b4d65521", "0000000000000001")).receive();
         assertEquals(200, answer.status());
--- a/gateway/src/test/java/marlford/gateway/upgrade/HandOverTest.java
+++ b/gateway/src/test/java/marlford/gateway/upgrade/ProcessHandoverTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The steps of an upgrade, and either process ending at each of them. */
-class HandOverTest {
+class ProcessHandoverTest {
     private static final long PATIENCE_MS = 30_000;
     private static final long NEVER_MS = 3_600_000;
 
@@ -41,25 +41,25 @@
     private final Deque<Closeable> resources = new ArrayDeque<>();
     private boolean quiesced;
 
-    private final Successor.Place servingProcess = new Successor.Place() {
+    private final Successor.ServingProcess servingProcess = new Successor.ServingProcess() {
         @Override
-        public boolean release() {
+        public boolean handOver() {
             calls.add("release");
             return quiesced;
         }
 
         @Override
-        public void leave() {
+        public void stopAccepting() {
             calls.add("leave");
         }
 
         @Override
-        public void takeBack() {
+        public void resume() {
             calls.add("takeBack");
         }
 
         @Override
-        public void end() {
+        public void shutDown() {
             calls.add("end");
         }
     };
@@ -117,11 +117,11 @@
         startRunningProcess(0);
         Predecessor predecessor = connectNewProcess();
         assertTrue(calls.isEmpty());
-        assertTrue(predecessor.take(PATIENCE_MS));
+        assertTrue(predecessor.takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
-        assertFalse(predecessor.away());
+        assertFalse(predecessor.wasQuiesced());
         assertTrue(calls.isEmpty());
-        assertTrue(predecessor.serving(PATIENCE_MS));
+        assertTrue(predecessor.reportServing(PATIENCE_MS));
         assertEquals("leave", nextCall());
         assertEquals("end", nextCall());
     }
@@ -131,8 +131,8 @@
         quiesced = true;
         startRunningProcess(NEVER_MS);
         Predecessor predecessor = connectNewProcess();
-        assertTrue(predecessor.take(PATIENCE_MS));
-        assertTrue(predecessor.away());
+        assertTrue(predecessor.takeOver(PATIENCE_MS));
+        assertTrue(predecessor.wasQuiesced());
     }
 
     @Test
@@ -140,7 +140,7 @@
         startRunningProcess(NEVER_MS);
         connectNewProcess().close();
         Predecessor nextProcess = connectNewProcess();
-        assertTrue(nextProcess.take(PATIENCE_MS));
+        assertTrue(nextProcess.takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
     }
 
@@ -148,12 +148,12 @@
     void aNewProcessThatEndsBeforeServingIsReplacedByTheOldOne() throws Exception {
         startRunningProcess(NEVER_MS);
         Predecessor predecessor = connectNewProcess();
-        assertTrue(predecessor.take(PATIENCE_MS));
+        assertTrue(predecessor.takeOver(PATIENCE_MS));
         predecessor.close();
         assertEquals("release", nextCall());
         assertEquals("takeBack", nextCall());
         Predecessor anotherAttempt = awaitRunningProcess();
-        assertTrue(anotherAttempt.take(PATIENCE_MS));
+        assertTrue(anotherAttempt.takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
     }
 
@@ -161,8 +161,8 @@
     void aNewProcessThatEndsDuringProbationIsReplacedByTheOldOne() throws Exception {
         startRunningProcess(NEVER_MS);
         Predecessor predecessor = connectNewProcess();
-        assertTrue(predecessor.take(PATIENCE_MS));
-        assertTrue(predecessor.serving(PATIENCE_MS));
+        assertTrue(predecessor.takeOver(PATIENCE_MS));
+        assertTrue(predecessor.reportServing(PATIENCE_MS));
         assertEquals("release", nextCall());
         assertEquals("leave", nextCall());
         Successor newer = new Successor(path, servingProcess, line -> { }, NEVER_MS);
@@ -170,11 +170,11 @@
         newer.close();
         predecessor.close();
         assertEquals("takeBack", nextCall());
-        assertTrue(awaitRunningProcess().take(PATIENCE_MS)); // the old process has bound the path again
+        assertTrue(awaitRunningProcess().takeOver(PATIENCE_MS)); // the old process has bound the path again
         assertEquals("release", nextCall());
     }
 
-    /** The socket is bound again shortly after {@code takeBack}. */
+    /** The socket is bound again shortly after {@code resume}. */
     private Predecessor awaitRunningProcess() throws Exception {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
         for (Predecessor found = Predecessor.find(path, PATIENCE_MS);; found = Predecessor.find(path, PATIENCE_MS)) {
@@ -202,7 +202,7 @@
         assertEquals("no: this is marlford-upgrade 1\n", read(sendRaw("marlford-upgrade 2\n")));
         assertTrue(calls.isEmpty());
         Predecessor nextProcess = connectNewProcess();
-        assertTrue(nextProcess.take(PATIENCE_MS));
+        assertTrue(nextProcess.takeOver(PATIENCE_MS));
     }
 
     @Test
@@ -231,7 +231,7 @@
             sendRaw(input);
         }
         sendRaw(Successor.VERSION_LINE + "\nserving\n");
-        assertTrue(awaitRunningProcess().take(PATIENCE_MS));
+        assertTrue(awaitRunningProcess().takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
         assertTrue(calls.isEmpty());
     }
@@ -242,7 +242,7 @@
         path = dir.resolve("missing").resolve("s");
         startRunningProcess(NEVER_MS);
         Files.createDirectory(path.getParent());
-        assertTrue(awaitRunningProcess().take(PATIENCE_MS));
+        assertTrue(awaitRunningProcess().takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
     }
 
@@ -262,6 +262,6 @@
         });
         assertNotNull(predecessor);
         resources.push(predecessor);
-        assertTrue(predecessor.take(PATIENCE_MS));
+        assertTrue(predecessor.takeOver(PATIENCE_MS));
     }
 }
