--- a/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
+++ b/fleet/src/main/java/marlford/fleet/HealthCheckWorker.java
@@ -51,7 +51,8 @@
                 .forEach(p -> gateway.probe(
                         p.host(), (outcome, tookMs) -> thread.accept(() -> ended(member, p, outcome, tookMs))));
         for (ProbeResultFilter.Report r : results.read(member.board(), now)) {
-            gateway.reportProbeResult(r.host(), outcome(r.finding().kind()), r.finding().tookMs(), r.ageMs());
+            gateway.reportProbeResult(
+                    r.host(), outcome(r.finding().kind()), r.finding().tookMs(), r.ageMs());
             note(r);
         }
     }
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -915,7 +915,7 @@
         try {
             awaitDrained((long) shutdownSchedule.exitMs());
             if (hasHeardFromPeers() && !replaced && !endedBeforeServing) {
-                log("drained: keeps books (quota ledgers) for the other gateways until the scheduled exit time");
+                log("drained: keeps quota ledgers for the other gateways until the scheduled exit time");
                 TimeUnit.NANOSECONDS.sleep(exitNanos - System.nanoTime());
             }
         } catch (InterruptedException e) {
--- a/gateway/src/main/java/marlford/gateway/net/Transport.java
+++ b/gateway/src/main/java/marlford/gateway/net/Transport.java
@@ -50,7 +50,7 @@
                 probe.setReuseAddress(true);
                 probe.bind(address);
             } catch (BindException e) {
-                throw new IOException("somebody else has the address " + address, e);
+                throw new IOException("another process uses the address " + address, e);
             }
         }
 
--- a/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
@@ -83,7 +83,7 @@
 
     @Test
     void anAddressInUseEndsTheStartAtOnce() throws Exception {
-        claimFailure = new IOException("somebody else has the address", new BindException("Address already in use"));
+        claimFailure = new IOException("another process uses the address", new BindException("Address already in use"));
         failingClaims.set(IN_A_ROW);
         assertThrows(IOException.class, node()::start);
         assertEquals(IN_A_ROW - 1, failingClaims.get());
--- a/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
@@ -168,7 +168,7 @@
             awaitReady();
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
             process.destroy();
-            awaitLog("drained: keeps books");
+            awaitLog("drained: keeps quota ledgers");
             assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         }
--- a/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
@@ -273,7 +273,7 @@
         Node stranger = Sockets.unstarted(config());
         resources.push(stranger::stop);
         IOException e = assertThrows(IOException.class, stranger::start);
-        assertTrue(e.getMessage().contains("somebody else has the address"), e.getMessage());
+        assertTrue(e.getMessage().contains("another process uses the address"), e.getMessage());
         assertTrue(serves("v"));
     }
 }
--- a/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
+++ b/storm/src/main/java/marlford/storm/scale/LoadedCustomer.java
@@ -71,19 +71,20 @@
         List<Integer> keepers = new ArrayList<>();
         QuotaCoordinator.Config config =
                 new QuotaCoordinator.Config(asker, gateways, mailPerSecond, Workload.MAX_UNITS, MOST, PLANS);
-        QuotaCoordinator quotas = new QuotaCoordinator(START_MS, config, 1, new Random(1), new QuotaCoordinator.Callbacks() {
-            @Override
-            public void sendToPeer(int peer, byte[] data) {
-                if (QuotaMessage.decode(data).items().stream().anyMatch(QuotaMessage.Query.class::isInstance)) {
-                    keepers.add(peer);
-                }
-            }
+        QuotaCoordinator quotas =
+                new QuotaCoordinator(START_MS, config, 1, new Random(1), new QuotaCoordinator.Callbacks() {
+                    @Override
+                    public void sendToPeer(int peer, byte[] data) {
+                        if (QuotaMessage.decode(data).items().stream().anyMatch(QuotaMessage.Query.class::isInstance)) {
+                            keepers.add(peer);
+                        }
+                    }
 
-            @Override
-            public void onDecision(double now, String id, QuotaCoordinator.Decision decision) {
-                throw new IllegalStateException("decided outside the customer's set, without its keeper");
-            }
-        });
+                    @Override
+                    public void onDecision(double now, String id, QuotaCoordinator.Decision decision) {
+                        throw new IllegalStateException("decided outside the customer's set, without its keeper");
+                    }
+                });
         quotas.requestAdmission(START_MS, "first", named, 1, START_MS + DEADLINE_MS);
         quotas.tick(START_MS + BEAT_MS);
         return keepers.get(0);
--- a/storm/src/main/java/marlford/storm/scale/Workload.java
+++ b/storm/src/main/java/marlford/storm/scale/Workload.java
@@ -100,7 +100,8 @@
         int plan = plan(index);
         QuotaTerms terms = plans().get(plan);
         int first = random.nextInt(gateways);
-        QuotaMessage.CustomerKey named = new QuotaMessage.CustomerKey(index + 1L, plan, first, Math.min(spread, gateways));
+        QuotaMessage.CustomerKey named =
+                new QuotaMessage.CustomerKey(index + 1L, plan, first, Math.min(spread, gateways));
         double measure = terms.rate() > 0 ? terms.rate() : terms.ceilingRate();
         return new Customer(index, named, terms, measure * use(index, random));
     }
