--- a/gateway/src/test/java/marlford/gateway/net/ClientReadingTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/InvalidClientInputTest.java
@@ -26,13 +26,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that send what can't be read, or nothing: each gets an error or a close, and no host hears of it. */
-class ClientReadingTest extends SocketTest {
-    private static final String ORDER = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", Sockets.PATIENCE_MS)
+/** Clients that send malformed input, or nothing: each gets an error or a close, and no host receives a request. */
+class InvalidClientInputTest extends SocketTest {
+    private static final String ORDER_HEAD = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", Sockets.PATIENCE_MS)
             + "Idempotency-Key: k\r\n";
-    private static final String INNER = "GET /view/inner HTTP/1.1\r\n\r\n";
+    private static final String HIDDEN_REQUEST = "GET /view/inner HTTP/1.1\r\n\r\n";
 
-    /** Where two readers may see another end, a second request hides: none of these may go on, nor what follows. */
+    /**
+     * Request smuggling: where two parsers may disagree on the end of a request, a second one can be hidden in it.
+     * None of these requests may be sent on, nor what follows them.
+     */
     @ParameterizedTest
     @ValueSource(strings = {
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -46,25 +49,25 @@
         "X-Quota: units=2,spread=1,first=0\r\nContent-Length: 0\r\n\r\n",
         "X-Trace-Id: other\r\nContent-Length: 0\r\n\r\n", "no colon here\r\nContent-Length: 0\r\n\r\n",
         "Content-Length : 3\r\n\r\nabc"})
-    void aRequestOfUncertainEndIsRefusedAndItsConnectionClosed(String rest) throws Exception {
+    void aRequestOfAmbiguousLengthIsRejectedAndItsConnectionClosed(String headerEnd) throws Exception {
         Server host = host(SocketTest::echo);
-        Client c = client(nodeBefore(host)).send(ORDER + rest + INNER);
-        Message answer = c.receive();
-        assertEquals(400, answer.status());
-        assertEquals("close", answer.header("Connection"));
+        Client c = client(nodeBefore(host)).send(ORDER_HEAD + headerEnd + HIDDEN_REQUEST);
+        Message response = c.receive();
+        assertEquals(400, response.status());
+        assertEquals("close", response.header("Connection"));
         assertNull(c.receive());
         assertEquals(List.of(), host.asked);
     }
 
-    /** A request that is safe to repeat goes on without a length, so a host would read its body as another one. */
+    /** A request that is safe to repeat is sent on without a length, so a host would read its body as another request. */
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 28\r\n\r\n" + INNER, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"})
-    void aGetWithABodyDoesNotGoOn(String rest) throws Exception {
+    @ValueSource(strings = {"Content-Length: 28\r\n\r\n" + HIDDEN_REQUEST, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"})
+    void aGetWithABodyIsRejected(String headerEnd) throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
-        String plain = view("v", Sockets.PATIENCE_MS);
-        assertEquals(400, c.send(plain.substring(0, plain.length() - 2) + rest).receive().status());
-        assertEquals(200, c.send(plain).receive().status());
+        String validRequest = view("v", Sockets.PATIENCE_MS);
+        assertEquals(400, c.send(validRequest.substring(0, validRequest.length() - 2) + headerEnd).receive().status());
+        assertEquals(200, c.send(validRequest).receive().status());
         assertEquals(1, host.asked.size());
     }
 
@@ -75,176 +78,180 @@
         "spread=1|spread=1.0", "first=0|first=1", "first=0|first=-1", "b4d65521|b4d6552", "00000000b4|+0000000b4",
         "00000000b4|00000002b4", "In-Ms: 1000|In-Ms: 1e3", "In-Ms: 1000|In-Ms: -5", "In-Ms: 1000|In-Ms: 0",
         "In-Ms: 1000|In-Ms: 99999999999", "X-Trace-Id: v|X-Trace-Id: a b", "/view/|view/", "HTTP/1.1|HTTP/3.7"})
-    void whatCantBeIsNotCounted(String good, String bad) throws Exception {
+    void invalidRequestFieldsAreRejected(String good, String bad) throws Exception {
         Server host = host(SocketTest::echo);
-        String plain = view("v", 1000);
-        assertTrue(plain.contains(good));
-        assertEquals(400, client(nodeBefore(host)).send(plain.replace(good, bad)).receive().status());
+        String validRequest = view("v", 1000);
+        assertTrue(validRequest.contains(good));
+        assertEquals(400, client(nodeBefore(host)).send(validRequest.replace(good, bad)).receive().status());
         assertEquals(List.of(), host.asked);
     }
 
-    /** What its class allows bounds the time that is told to the host, whatever the client says. */
+    /** The class's limit bounds the time that is passed to the host, whatever the client claims. */
     @Test
-    void noRequestWaitsLongerThanItsClassDoes() throws Exception {
+    void theRequestTimeIsBoundedByItsClass() throws Exception {
         Server host = host(SocketTest::echo);
         assertEquals(200, client(nodeBefore(host)).send(view("v", 999_999_999)).receive().status());
         assertTrue(Integer.parseInt(host.next().header("X-Expires-In-Ms")) <= 60_000);
     }
 
-    /** Renamed and served, it would reach a host under the id that somebody else's request has. */
+    /**
+     * A request whose id is already open is rejected; under a new id it would reach a host with the id of another
+     * request.
+     */
     @Test
-    void anIdThatIsOpenIsTurnedAway() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    void aRequestWithAnOpenIdIsRejected() throws Exception {
+        CountDownLatch releaseResponse = new CountDownLatch(1);
         Server host = host((m, s) -> {
-            told.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = nodeBefore(host);
         Client first = client(node).send(view("same", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
         assertEquals(400, client(node).send(view("same", Sockets.PATIENCE_MS)).receive().status());
-        told.countDown();
+        releaseResponse.countDown();
         assertEquals("for same ", first.receive().text());
         assertEquals(1, host.asked.size());
         assertEquals("for same ", first.send(view("same", Sockets.PATIENCE_MS)).receive().text());
     }
 
-    /** Before a byte of the body has come, and in its turn behind the answer that is still due. */
+    /** The refusal precedes any byte of the body, and waits for the answer that is still due on the connection. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 60000000\r\n\r\n", "Content-Length: 60000000\r\nExpect: 100-continue\r\n\r\n"})
-    void aBodyTooLongIsRefusedInItsTurn(String rest) throws Exception {
-        CountDownLatch sent = new CountDownLatch(1);
+    void aBodyThatIsTooLongIsRefusedInOrder(String headerEnd) throws Exception {
+        CountDownLatch requestsSent = new CountDownLatch(1);
         Server host = host((m, s) -> {
-            sent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            requestsSent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Client c = client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS) + ORDER + rest);
+        Client c = client(nodeBefore(host)).send(view("v", Sockets.PATIENCE_MS) + ORDER_HEAD + headerEnd);
         assertNotNull(host.next());
-        sent.countDown();
+        requestsSent.countDown();
         assertEquals("for v ", c.receive().text());
         assertEquals(413, c.receive().status());
         assertNull(c.receive());
         assertEquals(1, host.asked.size());
     }
 
-    /** A part of it is with a host by then: both ends are closed, and the host has no whole request. */
+    /** A part of the body has reached a host: both connections are closed, and the host has no complete request. */
     @Test
-    void aBodyOfManyChunksEndsItsConnectionOnceItIsTooLong() throws Exception {
-        CountDownLatch cut = new CountDownLatch(1);
+    void aChunkedBodyEndsItsConnectionOnceItIsTooLong() throws Exception {
+        CountDownLatch bodyCutOff = new CountDownLatch(1);
         Server host = host((m, s) -> {
             try {
-                LongAnswersTest.chunks(s.getInputStream());
+                LongResponseTest.readChunks(s.getInputStream());
             } catch (IOException | RuntimeException e) {
-                cut.countDown();
+                bodyCutOff.countDown();
             }
         });
-        Client c = client(nodeBefore(host)).send(ORDER + "Transfer-Encoding: chunked\r\n\r\n");
+        Client c = client(nodeBefore(host)).send(ORDER_HEAD + "Transfer-Encoding: chunked\r\n\r\n");
         String chunk = "10000\r\n" + "x".repeat(0x10000) + "\r\n";
         assertThrows(IOException.class, () -> {
-            for (int i = 0; i < 100 * 16; i++) { // twice what may be
+            for (int i = 0; i < 100 * 16; i++) { // twice the limit
                 c.send(chunk);
             }
         });
-        assertTrue(cut.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(bodyCutOff.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, host.asked.size());
     }
 
     @Test
-    void aClientThatAsksIsToldToSendItsBody() throws Exception {
+    void aClientThatExpectsContinueReceivesIt() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
-        c.send(ORDER + "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n");
+        c.send(ORDER_HEAD + "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(100, c.receive().status());
         assertEquals("for o body", c.send("body").receive().text());
     }
 
-    /** Neither silence nor half a request had an end; each is owed an error or a close. */
+    /** A silent client or a truncated request once stayed open without limit; each must get an error or a close. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /view/x HT", "GET /view/x HTTP/1.1\r\n", "GET /view/x HTTP/1.1\r\nX-A: b\r\nX-",
         "POST /order/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
-    void anUnfinishedRequestIsGivenUp(String half) throws Exception {
+    void anUnfinishedRequestTimesOut(String input) throws Exception {
         Node node = nodeBefore(host(SocketTest::echo));
-        Client c = client(node).send(half);
+        Client c = client(node).send(input);
         Client used = client(node).send(view("v", Sockets.PATIENCE_MS));
         assertEquals(200, used.receive().status());
-        used.send(half);
-        Message answer = c.receive();
-        assertEquals(half.isEmpty() ? "closed" : "408", answer == null ? "closed" : "" + answer.status());
-        if (!half.isEmpty()) {
+        used.send(input);
+        Message response = c.receive();
+        assertEquals(input.isEmpty() ? "closed" : "408", response == null ? "closed" : "" + response.status());
+        if (!input.isEmpty()) {
             assertEquals(408, used.receive().status());
         }
     }
 
     @Test
-    void aHeadWithoutEndIsRefused() throws Exception {
+    void anEndlessHeaderSectionIsRejected() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
         c.send("GET /view/x HTTP/1.1\r\n" + "X-A: bcdefghijklmnopqrstuvwxyz\r\n".repeat(300));
         assertEquals(431, c.receive().status());
     }
 
-    /** A node with places for 25 clients. */
-    private Node crampedNode() throws IOException {
+    /** A node that accepts 25 clients. */
+    private Node startNodeWithFewSockets() throws IOException {
         registry = kept(new Registry(list(1, true, entry("h0", host(SocketTest::echo).address(), "ready"))));
         return running(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
     }
 
-    /** Hundreds that say nothing must not take the place of one that does, nor of those that are in use. */
+    /** Many silent connections must not evict those that send requests or are in use. */
     @Test
-    void aSilentCrowdTakesNoUsedConnection() throws Exception {
-        Node node = crampedNode();
-        List<Client> regulars = new ArrayList<>();
+    void silentConnectionsEvictNoActiveConnection() throws Exception {
+        Node node = startNodeWithFewSockets();
+        List<Client> activeClients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            regulars.add(client(node));
-            assertEquals(200, regulars.get(i).send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
+            activeClients.add(client(node));
+            assertEquals(200, activeClients.get(i).send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
         }
-        List<Client> silent = new ArrayList<>();
+        List<Client> silentClients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            silent.add(client(node));
+            silentClients.add(client(node));
         }
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, regulars.get(i).send(view("s" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, activeClients.get(i).send(view("s" + i, Sockets.PATIENCE_MS)).receive().status());
         }
-        for (Client c : silent) {
-            assertNull(closedOr(c));
+        for (Client c : silentClients) {
+            assertNull(receiveOrNull(c));
         }
     }
 
-    /** Many that ask for health on ever new connections once pushed out those that bring the requests. */
+    /** Many health checks, each on a new connection, once evicted the connections that carry requests. */
     @Test
-    void aCrowdThatAsksOnceTakesNoRegularsPlace() throws Exception {
-        Node node = crampedNode();
-        Client regular = client(node);
+    void singleRequestConnectionsEvictNoActiveConnection() throws Exception {
+        Node node = startNodeWithFewSockets();
+        Client activeClient = client(node);
         for (int i = 0; i < 2; i++) {
-            assertEquals(200, regular.send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, activeClient.send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
         }
         for (int i = 0; i < 60; i++) {
             Client once = client(node);
             assertEquals(200, once.send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
             assertEquals(200, client(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
-            if (i % 20 == 19) { // more came in between than fit
-                assertEquals("for p" + i + " ", regular.send(view("p" + i, Sockets.PATIENCE_MS)).receive().text());
+            if (i % 20 == 19) { // more connections than the limit were opened in between
+                assertEquals("for p" + i + " ", activeClient.send(view("p" + i, Sockets.PATIENCE_MS)).receive().text());
             }
         }
     }
 
-    /** In a full house each newcomer pushed out the one before, whose request had no time to come. */
+    /** At the connection limit each new connection once evicted the previous one before its request could arrive. */
     @Test
-    void inAFullHouseNewcomersAreHeard() throws Exception {
-        Node node = crampedNode();
+    void newConnectionsAreServedAtTheConnectionLimit() throws Exception {
+        Node node = startNodeWithFewSockets();
         for (int i = 0; i < 40; i++) {
             assertEquals(200, client(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
         }
-        List<Client> newcomers = new ArrayList<>();
-        for (int i = 0; i < 5; i++) { // less than a quarter of the 25 that fit
-            newcomers.add(client(node));
+        List<Client> newClients = new ArrayList<>();
+        for (int i = 0; i < 5; i++) { // fewer than a quarter of the 25 that fit
+            newClients.add(client(node));
         }
-        assertEquals(200, client(node).send(view("last", Sockets.PATIENCE_MS)).receive().status()); // all are taken in
-        for (int i = 0; i < newcomers.size(); i++) {
-            assertEquals("for n" + i + " ", newcomers.get(i).send(view("n" + i, Sockets.PATIENCE_MS)).receive().text());
+        assertEquals(200, client(node).send(view("last", Sockets.PATIENCE_MS)).receive().status()); // all connections have been accepted
+        for (int i = 0; i < newClients.size(); i++) {
+            assertEquals("for n" + i + " ", newClients.get(i).send(view("n" + i, Sockets.PATIENCE_MS)).receive().text());
         }
     }
 
-    private static Message closedOr(Client c) {
+    /** The next message, or null where the connection was closed or reset. */
+    private static Message receiveOrNull(Client c) {
         try {
             return c.receive();
         } catch (IOException reset) {
@@ -252,9 +259,9 @@
         }
     }
 
-    /** A flood of bad requests is answered whole, but read only now and then. */
+    /** Each of many malformed requests is answered, but reading from their client is throttled. */
     @Test
-    void badRequestsAreAllAnswered() throws Exception {
+    void allMalformedRequestsAreAnswered() throws Exception {
         Client c = client(nodeBefore(host(SocketTest::echo)));
         String bad = view("v", 1000).replace("units=1", "units=x");
         c.send(bad.repeat(40));
@@ -270,7 +277,7 @@
     void aKeyedRequestKeepsItsBody() throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
-        c.send(ORDER + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+        c.send(ORDER_HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
         assertEquals("for o abcde", c.receive().text());
         assertEquals("5", host.next().header("Content-Length"));
         assertEquals("for p b", c.send(order("p", "b")).receive().text());
--- a/gateway/src/test/java/marlford/gateway/net/LongBodiesTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongRequestBodyTest.java
@@ -25,12 +25,12 @@
 import marlford.gateway.net.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** Bodies that are too long to be kept: each goes to one host, once, as fast as that takes it. */
-class LongBodiesTest extends SocketTest {
-    private static final int LONG = 2 << 20;
-    private static final int VERY_LONG = 32 << 20;
-    private static final int PART = 1 << 16;
-    private static final String DEAD = "127.0.0.1:1"; // below the ports that the system gives out
+/** Request bodies that are too long to buffer: each is streamed to one host, once, as fast as that host reads it. */
+class LongRequestBodyTest extends SocketTest {
+    private static final int LONG_BYTES = 2 << 20;
+    private static final int VERY_LONG_BYTES = 32 << 20;
+    private static final int PART_BYTES = 1 << 16;
+    private static final String REFUSING_ADDRESS = "127.0.0.1:1"; // a privileged port on which nothing listens
 
     private static byte[] content(int length) {
         byte[] content = new byte[length];
@@ -45,34 +45,34 @@
                 + "Idempotency-Key: key-" + id + "\r\n" + framing + "\r\n\r\n";
     }
 
-    private static void order(Client c, String id, byte[] body) throws IOException {
+    private static void sendOrder(Client c, String id, byte[] body) throws IOException {
         c.send(head(id, "Content-Length: " + body.length));
         c.socket.getOutputStream().write(body);
     }
 
-    private static void goesOn(Client c) throws IOException {
+    private static void assertConnectionUsable(Client c) throws IOException {
         assertEquals("for next ", c.send(view("next", Sockets.PATIENCE_MS)).receive().text());
     }
 
     @Test
-    void aLongBodyPassesWholeAndItsConnectionsStay() throws Exception {
-        byte[] body = content(LONG);
+    void aLongBodyPassesWholeAndItsConnectionsStayOpen() throws Exception {
+        byte[] body = content(LONG_BYTES);
         Server host = host((m, s) -> s.getOutputStream().write(m.body().length == 0 ? ok("for next ") : ok("done")));
         Client c = client(nodeBefore(host));
-        order(c, "o", body);
+        sendOrder(c, "o", body);
         assertEquals("done", c.receive().text());
         assertArrayEquals(body, host.next().body());
-        goesOn(c);
+        assertConnectionUsable(c);
         assertTrue(host.ended.isEmpty());
     }
 
     @Test
     void aBodyOfUnknownLengthPassesWhole() throws Exception {
-        byte[] body = content(LONG);
-        CompletableFuture<byte[]> got = new CompletableFuture<>();
+        byte[] body = content(LONG_BYTES);
+        CompletableFuture<byte[]> received = new CompletableFuture<>();
         Server host = host((m, s) -> {
             if ("chunked".equals(m.header("Transfer-Encoding"))) {
-                got.complete(LongAnswersTest.chunks(s.getInputStream()));
+                received.complete(LongResponseTest.readChunks(s.getInputStream()));
                 s.getOutputStream().write(ok("done"));
             } else {
                 echo(m, s);
@@ -80,77 +80,80 @@
         });
         Client c = client(nodeBefore(host)).send(head("o", "Transfer-Encoding: chunked"));
         OutputStream out = c.socket.getOutputStream();
-        for (int at = 0; at < LONG; at += 9_000) {
-            byte[] part = Arrays.copyOfRange(body, at, Math.min(LONG, at + 9_000));
+        for (int at = 0; at < LONG_BYTES; at += 9_000) {
+            byte[] part = Arrays.copyOfRange(body, at, Math.min(LONG_BYTES, at + 9_000));
             out.write(bytes(Integer.toHexString(part.length) + ";ext=1\r\n"));
             out.write(part);
             out.write(bytes("\r\n"));
         }
         out.write(bytes("0\r\nTrailer: t\r\n\r\n"));
         assertEquals("done", c.receive().text());
-        assertArrayEquals(body, got.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        goesOn(c);
+        assertArrayEquals(body, received.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertConnectionUsable(c);
     }
 
-    /** More at once than memory holds: what a host does not take stays with the client. */
+    /** The body exceeds the memory: what the host does not read stays with the client. */
     @Test
-    void whatAHostDoesNotTakeIsNotRead() throws Exception {
-        CountDownLatch reads = new CountDownLatch(1);
-        CompletableFuture<Integer> read = new CompletableFuture<>();
+    void aBodyIsReadOnlyAsFastAsItsHostReads() throws Exception {
+        CountDownLatch hostMayRead = new CountDownLatch(1);
+        CompletableFuture<Integer> bodyLength = new CompletableFuture<>();
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread host = new Thread(() -> {
                 try (Socket s = slow.accept()) {
-                    reads.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                    hostMayRead.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
                     Message m = Sockets.read(s.getInputStream());
                     s.getOutputStream().write(ok("done"));
-                    read.complete(m.body().length);
+                    bodyLength.complete(m.body().length);
                     s.getInputStream().read();
                 } catch (IOException | InterruptedException e) {
-                    read.completeExceptionally(e);
+                    bodyLength.completeExceptionally(e);
                 }
             });
             host.start();
             Client c = client(nodeWith(entry("h", "127.0.0.1:" + slow.getLocalPort(), "ready")));
-            AtomicLong sent = new AtomicLong();
+            AtomicLong sentBytes = new AtomicLong();
             Thread writer = new Thread(() -> {
                 try {
-                    c.send(head("o", "Content-Length: " + VERY_LONG));
-                    byte[] part = new byte[PART];
-                    for (int at = 0; at < VERY_LONG; at += PART) {
+                    c.send(head("o", "Content-Length: " + VERY_LONG_BYTES));
+                    byte[] part = new byte[PART_BYTES];
+                    for (int at = 0; at < VERY_LONG_BYTES; at += PART_BYTES) {
                         c.socket.getOutputStream().write(part);
-                        sent.addAndGet(PART);
+                        sentBytes.addAndGet(PART_BYTES);
                     }
                 } catch (IOException e) {
-                    sent.set(Long.MIN_VALUE);
+                    sentBytes.set(Long.MIN_VALUE);
                 }
             });
             writer.start();
-            long before = LongAnswersTest.settled(sent); // the client can send no more
-            assertTrue(before < VERY_LONG - PART, "the client sent " + before);
-            reads.countDown();
+            long steadyBytes = LongResponseTest.awaitSteady(sentBytes); // until flow control blocks the client
+            assertTrue(steadyBytes < VERY_LONG_BYTES - PART_BYTES, "bytes sent by the client: " + steadyBytes);
+            hostMayRead.countDown();
             assertEquals("done", c.receive().text());
-            assertEquals(VERY_LONG, read.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertEquals(VERY_LONG_BYTES, bodyLength.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         }
     }
 
-    /** A host that can't be had has taken nothing, so another may have it all. */
+    /** A host that refuses the connection has received nothing, so the whole body can go to another one. */
     @Test
-    void aHostThatRefusesConnectionsCostsNoLongBody() throws Exception {
-        byte[] body = content(LONG);
+    void aHostThatRefusesConnectionsLosesNoLongBody() throws Exception {
+        byte[] body = content(LONG_BYTES);
         Server host = host((m, s) -> s.getOutputStream().write(ok("done")));
-        Node node = nodeWith(entry("dead", DEAD, "ready"), entry("live", host.address(), "ready"));
+        Node node = nodeWith(entry("dead", REFUSING_ADDRESS, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 6; i++) {
             Client c = client(node);
-            order(c, "o" + i, body);
+            sendOrder(c, "o" + i, body);
             assertEquals("done", c.receive().text());
             assertArrayEquals(body, host.next().body());
         }
     }
 
-    /** It never had the last byte, so it never ran, and a further try of the client's does no harm; ours can't be. */
+    /**
+     * The host never received the last byte, so the request never ran and the client may safely retry. The gateway
+     * can't retry, since it no longer has the whole body.
+     */
     @Test
-    void aHostThatBreaksOffWithinABodyIsARefusal() throws Exception {
-        CountDownLatch broken = new CountDownLatch(1);
+    void aHostThatClosesWithinABodyCausesARefusal() throws Exception {
+        CountDownLatch brokenOff = new CountDownLatch(1);
         AtomicLong connections = new AtomicLong();
         try (ServerSocket breaking = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             Thread host = new Thread(() -> {
@@ -158,147 +161,151 @@
                     while (true) {
                         try (Socket s = breaking.accept()) {
                             connections.incrementAndGet();
-                            s.getInputStream().readNBytes(4 * PART);
-                            broken.countDown();
+                            s.getInputStream().readNBytes(4 * PART_BYTES);
+                            brokenOff.countDown();
                         }
                     }
                 } catch (IOException e) {
-                    // the test's end
+                    // closed at the end of the test
                 }
             });
             host.start();
             Client c = client(nodeWith(entry("h", "127.0.0.1:" + breaking.getLocalPort(), "ready")));
-            c.send(head("o", "Content-Length: " + LONG));
-            c.socket.getOutputStream().write(new byte[LONG / 2]);
-            assertTrue(broken.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            c.socket.getOutputStream().write(new byte[LONG / 2]);
-            Message answer = c.receive();
-            assertEquals(429, answer.status());
-            assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+            c.send(head("o", "Content-Length: " + LONG_BYTES));
+            c.socket.getOutputStream().write(new byte[LONG_BYTES / 2]);
+            assertTrue(brokenOff.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            c.socket.getOutputStream().write(new byte[LONG_BYTES / 2]);
+            Message response = c.receive();
+            assertEquals(429, response.status());
+            assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
             assertEquals(1, connections.get());
         }
     }
 
-    /** It may have run: the client gets no refusal, and no host gets the order again. */
+    /** The request may have run: the client gets no refusal, and no host receives the order again. */
     @Test
-    void aHostThatResetsAfterTheLastByteIsAFailure() throws Exception {
+    void aHostThatClosesAfterTheLastByteCausesAFailure() throws Exception {
         Server host = host((m, s) -> s.close());
         Server other = host((m, s) -> s.close());
         Client c = client(nodeBefore(host, other));
-        order(c, "o", content(LONG));
+        sendOrder(c, "o", content(LONG_BYTES));
         assertEquals(502, c.receive().status());
         assertEquals(1, host.asked.size() + other.asked.size());
     }
 
     @Test
-    void aClientThatLeavesWithinItsBodyEndsTheAttempt() throws Exception {
-        CompletableFuture<Integer> got = new CompletableFuture<>();
+    void aClientThatDisconnectsWithinItsBodyEndsTheAttempt() throws Exception {
+        CompletableFuture<Integer> received = new CompletableFuture<>();
         try (ServerSocket waiting = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread host = new Thread(() -> {
                 try (Socket s = waiting.accept()) {
                     InputStream in = s.getInputStream();
-                    got.complete(in.readNBytes(LONG).length);
+                    received.complete(in.readNBytes(LONG_BYTES).length);
                 } catch (IOException e) {
-                    got.complete(-1); // reset is as good an end
+                    received.complete(-1); // a reset ends the connection as well
                 }
             });
             host.start();
             Client c = client(nodeWith(entry("h", "127.0.0.1:" + waiting.getLocalPort(), "ready")));
-            c.send(head("o", "Content-Length: " + LONG));
-            c.socket.getOutputStream().write(new byte[LONG / 2]);
+            c.send(head("o", "Content-Length: " + LONG_BYTES));
+            c.socket.getOutputStream().write(new byte[LONG_BYTES / 2]);
             c.close();
-            assertTrue(got.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS) < LONG);
+            assertTrue(received.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS) < LONG_BYTES);
         }
     }
 
-    /** Chunks that can't be read end the connection, and no host takes the half of it for all. */
+    /** Malformed chunks end the connection, and no host takes the part received for the whole body. */
     @Test
-    void aBodyThatBecomesUnreadableEndsItsConnection() throws Exception {
-        CompletableFuture<Integer> got = new CompletableFuture<>();
+    void malformedChunksEndTheConnection() throws Exception {
+        CompletableFuture<Integer> received = new CompletableFuture<>();
         Server host = host((m, s) -> {
             try {
-                got.complete(LongAnswersTest.chunks(s.getInputStream()).length);
+                received.complete(LongResponseTest.readChunks(s.getInputStream()).length);
             } catch (IOException | RuntimeException e) {
-                got.complete(-1);
+                received.complete(-1);
             }
         });
         Client c = client(nodeBefore(host)).send(head("o", "Transfer-Encoding: chunked"));
-        c.send(Integer.toHexString(2 * PART) + "\r\n");
-        c.socket.getOutputStream().write(new byte[2 * PART]);
+        c.send(Integer.toHexString(2 * PART_BYTES) + "\r\n");
+        c.socket.getOutputStream().write(new byte[2 * PART_BYTES]);
         c.send("\r\n");
         assertNotNull(host.next());
         c.send("zz\r\n");
-        assertEquals(-1, got.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(-1, received.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** Clients may send all before they read: what nobody wants is read, and the connection goes on behind it. */
+    /**
+     * Clients may send the whole body before they read: the body of a refused request is read and discarded, and the
+     * connection stays usable.
+     */
     @Test
-    void aLongBodyBeyondTheQuotaIsRefusedAndItsConnectionStays() throws Exception {
+    void aLongBodyBeyondTheQuotaIsRefusedAndItsConnectionStaysOpen() throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
         for (int i = 0; i < 3; i++) {
-            c.send(head("o" + i, "Content-Length: " + LONG).replace("X-Plan: free", "X-Plan: tiny")
+            c.send(head("o" + i, "Content-Length: " + LONG_BYTES).replace("X-Plan: free", "X-Plan: tiny")
                     .replace("units=1", "units=4"));
-            c.socket.getOutputStream().write(new byte[LONG]);
+            c.socket.getOutputStream().write(new byte[LONG_BYTES]);
             assertEquals(429, c.receive().status());
         }
-        goesOn(c);
+        assertConnectionUsable(c);
         assertEquals(1, host.asked.size());
     }
 
     @Test
-    void aLongBodyWhereNoneMayBeIsTurnedAwayAndItsConnectionStays() throws Exception {
+    void aLongBodyWhereNoneIsAllowedIsRejectedAndItsConnectionStaysOpen() throws Exception {
         Server host = host(SocketTest::echo);
         Client c = client(nodeBefore(host));
         String get = view("v", Sockets.PATIENCE_MS);
-        c.send(get.substring(0, get.length() - 2) + "Content-Length: " + LONG + "\r\n\r\n");
-        c.socket.getOutputStream().write(new byte[LONG]);
+        c.send(get.substring(0, get.length() - 2) + "Content-Length: " + LONG_BYTES + "\r\n\r\n");
+        c.socket.getOutputStream().write(new byte[LONG_BYTES]);
         assertEquals(400, c.receive().status());
-        goesOn(c);
+        assertConnectionUsable(c);
         assertEquals(1, host.asked.size());
     }
 
-    private static final int WAITS = ClientServer.MAX_BODY + 20_000; // long, and all of it is read while it waits its turn
+    // too long to buffer whole, yet read completely while the request waits
+    private static final int WAITING_BODY_BYTES = ClientServer.MAX_BODY + 20_000;
 
-    /** What is behind the kept part of a body that waits came to nobody, and was once never released. */
+    /** The data behind the buffered part of a waiting body had no consumer, and was once never released. */
     @Test
-    void aLongBodyThatWaitsEndsWithItsClient() throws Exception {
-        CountDownLatch left = new CountDownLatch(1);
+    void aWaitingLongBodyIsReleasedWhenItsClientDisconnects() throws Exception {
+        CountDownLatch clientGone = new CountDownLatch(1);
         Server host = host((m, s) -> {
-            left.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            clientGone.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = nodeBefore(host);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
-        order(c, "o", content(WAITS));
+        sendOrder(c, "o", content(WAITING_BODY_BYTES));
         c.close();
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "the gateway has seen the client leave");
-        left.countDown();
-        goesOn(client(node));
+        Sockets.await(() -> node.loop.submit(node::connections).get() == 0, "the gateway has noticed that the client disconnected");
+        clientGone.countDown();
+        assertConnectionUsable(client(node));
     }
 
-    /** The same where it is refused in its turn, all of it being there. */
+    /** The same where the request is refused after it has waited and the whole body has arrived. */
     @Test
-    void aLongBodyThatWaitedAndIsRefusedIsReleased() throws Exception {
-        CountDownLatch read = new CountDownLatch(1);
+    void aWaitingLongBodyIsReleasedWhenItsRequestIsRefused() throws Exception {
+        CountDownLatch bodyRead = new CountDownLatch(1);
         Server host = host((m, s) -> {
-            read.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            bodyRead.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = nodeBefore(host);
         Client c = client(node).send(view("v", Sockets.PATIENCE_MS));
         assertNotNull(host.next());
-        c.send(head("o", "Content-Length: " + WAITS)
+        c.send(head("o", "Content-Length: " + WAITING_BODY_BYTES)
                 .replace("X-Plan: free", "X-Plan: tiny").replace("b4d65521", "b4d65522").replace("units=1", "units=4"));
-        c.socket.getOutputStream().write(content(WAITS));
+        c.socket.getOutputStream().write(content(WAITING_BODY_BYTES));
         for (int i = 0; i < 100; i++) {
-            node.loop.submit(() -> { }).sync(); // each turn of the loop reads of it what there is
+            node.loop.submit(() -> { }).sync(); // each event loop iteration reads what has arrived of it
         }
-        read.countDown();
+        bodyRead.countDown();
         assertEquals("for v ", c.receive().text());
         assertEquals(429, c.receive().status());
-        goesOn(c);
+        assertConnectionUsable(c);
         assertEquals(2, host.asked.size());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/StoppedClientIsLeftOpenTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StalledClientTest.java
@@ -29,35 +29,35 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A client that stops inside a request, wherever that is, gets an error or a close within 3 s. */
-class StoppedClientIsLeftOpenTest extends SocketTest {
-    private static final double OWED_MS = 3000;
-    private static final double STEP_MS = 250;
-    private static final double RELEASED_MS = 1000; // from the stop until the host answers what stands ahead of it
-    private static final long SWEEPS_MS = 220; // the gateway looks at its connections every 100 ms
-    private static final int SEEN_WITHIN_MS = 5000; // what has happened at the gateway reaches the client
-    private static final String HALF_HEAD = "GET /view/x HTTP/1.1\r\nHost: h\r\nX-Tr";
-    private static final String ORDER = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("ID", Sockets.PATIENCE_MS)
+/** A client that stops sending within a request, at whatever position, gets an error or a close within 3 s. */
+class StalledClientTest extends SocketTest {
+    private static final double STALL_LIMIT_MS = 3000;
+    private static final double CLOCK_STEP_MS = 250;
+    private static final double HELD_RELEASE_MS = 1000; // from the stall until the host answers the earlier requests
+    private static final long SWEEP_WAIT_MS = 220; // the gateway checks its connections every 100 ms
+    private static final int RECEIVE_TIMEOUT_MS = 5000; // upper bound until an event at the gateway reaches the client
+    private static final String PARTIAL_HEAD = "GET /view/x HTTP/1.1\r\nHost: h\r\nX-Tr";
+    private static final String ORDER_HEAD = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("ID", Sockets.PATIENCE_MS)
             + "Idempotency-Key: k\r\n";
-    private static final int LOOKS = 5; // in a row
-    private static final int LONG_BODIES = 2; // positions within one
-    private static final int LONG = 300_000; // bytes of a body's part, more than is kept of it
-    private static final int SMALL_WINDOW = 4096;
-    private static final int MANY = 200; // requests whose answers fill every buffer on their way
+    private static final int STABLE_CHECKS = 5; // consecutive observations
+    private static final int LONG_BODY_POSITIONS = 2; // number of positions that lie within a long body
+    private static final int PARTIAL_BODY_BYTES = 300_000; // more than the gateway buffers
+    private static final int SMALL_RECEIVE_BUFFER_BYTES = 4096;
+    private static final int PIPELINED_REQUESTS = 200; // requests whose answers fill every buffer on the path
 
     private final CountDownLatch released = new CountDownLatch(1);
 
     private static String longBody(String length) {
-        return ORDER + "Content-Length: " + length + "\r\n\r\n" + "z".repeat(LONG);
+        return ORDER_HEAD + "Content-Length: " + length + "\r\n\r\n" + "z".repeat(PARTIAL_BODY_BYTES);
     }
 
-    /** Where the client stops. */
+    /** Where within a request the client stops. */
     enum Position {
-        HEAD(HALF_HEAD), BARE_LINE_END("\r\n"), BODY(ORDER + "Content-Length: 9\r\n\r\nhalf"),
-        CHUNK(ORDER + "Transfer-Encoding: chunked\r\n\r\n5\r\nab"),
-        TRAILER(ORDER + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\nX-T: "),
-        EXPECTED_BODY(ORDER + "Content-Length: 9\r\nExpect: 100-continue\r\n\r\n"), LONG_BODY(longBody("9000000")),
-        LONG_CHUNKS(ORDER + "Transfer-Encoding: chunked\r\n\r\n493e0\r\n" + "z".repeat(LONG) + "\r\n");
+        HEAD(PARTIAL_HEAD), BARE_LINE_END("\r\n"), BODY(ORDER_HEAD + "Content-Length: 9\r\n\r\nhalf"),
+        CHUNK(ORDER_HEAD + "Transfer-Encoding: chunked\r\n\r\n5\r\nab"),
+        TRAILER(ORDER_HEAD + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\nX-T: "),
+        EXPECTED_BODY(ORDER_HEAD + "Content-Length: 9\r\nExpect: 100-continue\r\n\r\n"), LONG_BODY(longBody("9000000")),
+        LONG_CHUNKS(ORDER_HEAD + "Transfer-Encoding: chunked\r\n\r\n493e0\r\n" + "z".repeat(PARTIAL_BODY_BYTES) + "\r\n");
 
         private final String text;
 
@@ -65,16 +65,16 @@
             this.text = text;
         }
 
-        /** What is sent of the request, under an id of its own. */
+        /** The part of the request that is sent, with an id of its own. */
         String part() {
             return text.replace("X-Trace-Id: ID", "X-Trace-Id: " + this);
         }
     }
 
-    /** What stands ahead of it on the connection. */
-    enum Ahead { NOTHING, ONE_ANSWERED, ONE_HELD, TWENTY_HELD, FAULTS }
+    /** What precedes the partial request on the connection. */
+    enum Preceding { NOTHING, ONE_ANSWERED, ONE_HELD, TWENTY_HELD, MALFORMED }
 
-    private Server holding() throws IOException {
+    private Server startHoldingHost() throws IOException {
         return host((m, s) -> {
             if (m.start().contains("held")) {
                 released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -83,41 +83,47 @@
         });
     }
 
-    /** Two turns of the loop: what stood in a socket before the first is read by the end of the second. */
-    private static void turns(Node node) throws Exception {
+    /** Runs two event loop tasks: what was in a socket before the first is read by the end of the second. */
+    private static void runLoopTwice(Node node) throws Exception {
         for (int i = 0; i < 2; i++) {
             node.loop.submit(() -> { }).get();
         }
     }
 
-    /** Moves the clock on by what is owed, in steps that the gateway sees; what is held is answered on the way. */
-    private void passOwed(Node node, MovedClock clock) throws Exception {
-        passOwed(node, clock, RELEASED_MS);
+    /**
+     * Advances the clock by the stall limit, in steps that the gateway observes; held requests are answered on the
+     * way.
+     */
+    private void passStallLimit(Node node, MovedClock clock) throws Exception {
+        passStallLimit(node, clock, HELD_RELEASE_MS);
     }
 
-    private void passOwed(Node node, MovedClock clock, double releasedMs) throws Exception {
-        turns(node);
-        for (double passed = 0; passed < OWED_MS; passed += STEP_MS) {
+    private void passStallLimit(Node node, MovedClock clock, double releasedMs) throws Exception {
+        runLoopTwice(node);
+        for (double passed = 0; passed < STALL_LIMIT_MS; passed += CLOCK_STEP_MS) {
             if (passed == releasedMs) {
                 released.countDown();
-                awaitAnswersAhead(node); // while the clock stands
+                awaitAnswersAhead(node); // while the clock is stopped
             }
-            clock.move(STEP_MS);
-            node.loop.schedule(() -> { }, SWEEPS_MS, TimeUnit.MILLISECONDS).get();
+            clock.move(CLOCK_STEP_MS);
+            node.loop.schedule(() -> { }, SWEEP_WAIT_MS, TimeUnit.MILLISECONDS).get();
         }
     }
 
-    /** All that came whole is answered, and the next ones behind it; not long bodies, of which their client sends no more. */
+    /**
+     * Waits until all complete requests are answered, and those behind them. Long bodies stay open, since their
+     * client sends no more.
+     */
     private static void awaitAnswersAhead(Node node) throws Exception {
-        AtomicInteger seen = new AtomicInteger(); // in a row: an answer lets the next request in
+        AtomicInteger stableChecks = new AtomicInteger(); // consecutive observations, since an answer lets the next request begin
         Sockets.await(() -> {
-            boolean answered = node.loop.submit(node::openRequests).get() <= LONG_BODIES;
-            return (answered ? seen.incrementAndGet() : seen.getAndSet(0)) > LOOKS;
-        }, "answers to what stands ahead");
+            boolean answered = node.loop.submit(node::openRequests).get() <= LONG_BODY_POSITIONS;
+            return (answered ? stableChecks.incrementAndGet() : stableChecks.getAndSet(0)) > STABLE_CHECKS;
+        }, "all complete requests are answered");
     }
 
-    private static String ahead(Ahead what, String name) {
-        return switch (what) {
+    private static String precedingRequests(Preceding preceding, String name) {
+        return switch (preceding) {
             case NOTHING, ONE_ANSWERED -> "";
             case ONE_HELD -> view("held" + name, Sockets.PATIENCE_MS);
             case TWENTY_HELD -> {
@@ -127,13 +133,13 @@
                 }
                 yield all.toString();
             }
-            case FAULTS -> "GET /view/x HTTP/1.1\r\n\r\n".repeat(3);
+            case MALFORMED -> "GET /view/x HTTP/1.1\r\n\r\n".repeat(3);
         };
     }
 
-    /** Reads on to the answer that ends the connection, or to its end; fails where neither has come. */
+    /** Reads up to the answer that ends the connection, or to its close; fails if neither arrives. */
     private static String ending(Client c) throws IOException {
-        c.socket.setSoTimeout(SEEN_WITHIN_MS);
+        c.socket.setSoTimeout(RECEIVE_TIMEOUT_MS);
         try {
             for (Message m = c.receive(); m != null; m = c.receive()) {
                 if ("close".equals(m.header("Connection"))) {
@@ -146,70 +152,70 @@
         }
     }
 
-    /** Reading pauses behind more requests than are read ahead, and after bad ones. */
+    /** The gateway pauses reading behind more requests than it reads ahead, and after malformed ones. */
     @ParameterizedTest
     @EnumSource
-    void behind(Ahead ahead) throws Exception {
+    void stallBehindEarlierRequests(Preceding preceding) throws Exception {
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(holding(), clock);
+        Node node = nodeBefore(startHoldingHost(), clock);
         Map<Position, Client> clients = new EnumMap<>(Position.class);
         for (Position position : Position.values()) {
             Client c = client(node);
             clients.put(position, c);
-            if (ahead == Ahead.ONE_ANSWERED) {
+            if (preceding == Preceding.ONE_ANSWERED) {
                 assertEquals(200, c.send(view("kept" + position, Sockets.PATIENCE_MS)).receive().status());
             }
-            c.send(ahead(ahead, position.name()) + position.part());
+            c.send(precedingRequests(preceding, position.name()) + position.part());
         }
-        passOwed(node, clock);
+        passStallLimit(node, clock);
         assertAllEnded(clients);
     }
 
     private static void assertAllEnded(Map<Position, Client> clients) {
         assertAll(clients.entrySet().stream().map(c -> () -> {
             String end = ending(c.getValue());
-            assertTrue(end.equals("408") || end.equals("closed"), c.getKey() + " got " + end);
+            assertTrue(end.equals("408") || end.equals("closed"), c.getKey() + " ended with " + end);
         }));
     }
 
-    /** Its answers fill every buffer on their way, so that an error could not reach it either. */
+    /** The answers fill every buffer on the path, so that an error response could not reach the client either. */
     @ParameterizedTest
     @EnumSource(names = {"HEAD", "BODY", "LONG_BODY"})
-    void behindAnswersThatItDoesNotRead(Position position) throws Exception {
+    void stallBehindUnreadAnswers(Position position) throws Exception {
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(holding(), clock);
-        Client c = smallWindow(node);
+        Node node = nodeBefore(startHoldingHost(), clock);
+        Client c = clientWithSmallBuffer(node);
         StringBuilder all = new StringBuilder();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < PIPELINED_REQUESTS; i++) {
             all.append(view("large" + i, Sockets.PATIENCE_MS));
         }
         c.send(all + position.part());
-        Sockets.await(() -> node.loop.submit(node::hasUnsent).get(), "an answer can't leave");
-        passOwed(node, clock);
+        Sockets.await(() -> node.loop.submit(node::hasUnsent).get(), "an answer can't be written");
+        passStallLimit(node, clock);
         awaitNoConnection(node);
     }
 
-    private Client smallWindow(Node node) throws IOException {
+    private Client clientWithSmallBuffer(Node node) throws IOException {
         Socket socket = new Socket();
-        socket.setReceiveBufferSize(SMALL_WINDOW);
+        socket.setReceiveBufferSize(SMALL_RECEIVE_BUFFER_BYTES);
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()));
         return kept(new Client(socket));
     }
 
     private static void awaitNoConnection(Node node) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SEEN_WITHIN_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECEIVE_TIMEOUT_MS);
         while (node.loop.submit(node::connections).get() > 0) {
             assertTrue(System.nanoTime() < end, "the connection is still open");
             Thread.sleep(5);
         }
     }
 
-    /** The process is told to end and its clients stay for a while, or another process accepts clients in its place. */
+    /** The process shuts down while clients stay for a while, or another process accepts clients in its place. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whileTheProcessEndsOrIsReplaced(boolean replaced) throws Exception {
+    void stallDuringShutdownOrReplacement(boolean replaced) throws Exception {
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(holding(), clock);
+        Node node = nodeBefore(startHoldingHost(), clock);
         Map<Position, Client> clients = new EnumMap<>(Position.class);
         for (Position position : Position.values()) {
             Client c = client(node);
@@ -217,71 +223,77 @@
             assertEquals(200, c.send(view("kept" + position, Sockets.PATIENCE_MS)).receive().status());
             c.send(position.part());
         }
-        turns(node);
+        runLoopTwice(node);
         if (replaced) {
             node.place(() -> { }).release();
             node.place(() -> { }).leave();
         } else {
             node.loop.submit(() -> node.drainAfter(Sockets.PATIENCE_MS)).get();
         }
-        passOwed(node, clock);
+        passStallLimit(node, clock);
         assertAllEnded(clients);
     }
 
-    /** Its host takes nothing more of its body: then neither does the gateway, and it could not be told to have stopped. */
+    /**
+     * The host reads no more of the body, so the gateway reads no more either and can't tell whether the client has
+     * stopped.
+     */
     @Test
-    void whereItsHostTakesNoneOfItsBody() throws Exception {
+    void stallWhereTheHostReadsNoBody() throws Exception {
         MovedClock clock = MovedClock.standing();
-        ServerSocket host = kept(new ServerSocket(0, 1, InetAddress.getLoopbackAddress())); // its queue takes the connection
+        ServerSocket host = kept(new ServerSocket(0, 1, InetAddress.getLoopbackAddress())); // the accept queue completes the connection
         registry = kept(new Registry(list(1, true, entry("h0", "127.0.0.1:" + host.getLocalPort(), "ready"))));
         Node node = of(Sockets.config(registry.server.address(), "127.0.0.1:0"), clock);
         Client c = client(node);
         Thread writer = new Thread(() -> {
             try {
-                c.send(ORDER + "Content-Length: " + (40 << 20) + "\r\n\r\n");
+                c.send(ORDER_HEAD + "Content-Length: " + (40 << 20) + "\r\n\r\n");
                 for (int i = 0; i < 39; i++) {
                     c.send("z".repeat(1 << 20));
                 }
             } catch (IOException e) {
-                // ended
+                // the connection was closed
             }
         });
         writer.setDaemon(true);
         writer.start();
-        writer.join(SWEEPS_MS); // until the buffers on the way are full
+        writer.join(SWEEP_WAIT_MS); // until the buffers on the path are full
         for (int i = 0; i < 24; i++) {
-            clock.move(STEP_MS);
-            node.loop.schedule(() -> { }, 2 * SWEEPS_MS, TimeUnit.MILLISECONDS).get();
+            clock.move(CLOCK_STEP_MS);
+            node.loop.schedule(() -> { }, 2 * SWEEP_WAIT_MS, TimeUnit.MILLISECONDS).get();
         }
-        c.socket.setSoTimeout(SEEN_WITHIN_MS);
+        c.socket.setSoTimeout(RECEIVE_TIMEOUT_MS);
         Message answer = c.receive();
-        assertTrue(answer == null || answer.status() >= 400, "no answer, and no close");
+        assertTrue(answer == null || answer.status() >= 400, "neither an error response nor a close");
     }
 
-    /** It waits for the word to send its body, which can't be given ahead of the answer that is due. */
+    /**
+     * The client waits for 100 Continue before it sends the body; that response can't precede the answer that is
+     * still due.
+     */
     @Test
-    void aClientThatWaitsForLeaveToGoOnIsServed() throws Exception {
+    void aClientThatWaitsForContinueIsServed() throws Exception {
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(holding(), clock);
+        Node node = nodeBefore(startHoldingHost(), clock);
         Client c = client(node).send(view("held", Sockets.PATIENCE_MS) + Position.EXPECTED_BODY.part());
-        passOwed(node, clock, OWED_MS - STEP_MS);
+        passStallLimit(node, clock, STALL_LIMIT_MS - CLOCK_STEP_MS);
         assertEquals(200, c.receive().status());
         assertEquals(100, c.receive().status());
         assertEquals(200, c.send("all of it").receive().status());
     }
 
-    /** A client that is slow and goes on is not one that stopped: two seconds for a head, pauses in a body. */
+    /** A slow client that keeps sending has not stalled: it may take two seconds for a head, and pause within a body. */
     @Test
     void aSlowClientIsServed() throws Exception {
         MovedClock clock = MovedClock.standing();
-        Node node = nodeBefore(holding(), clock);
+        Node node = nodeBefore(startHoldingHost(), clock);
         Client c = client(node);
-        String head = ORDER + "Content-Length: 10\r\n\r\n";
+        String head = ORDER_HEAD + "Content-Length: 10\r\n\r\n";
         for (String part : new String[] {head.substring(0, 20), head.substring(20) + "four_and_", "5"}) {
             c.send(part);
-            turns(node);
+            runLoopTwice(node);
             clock.move(part.startsWith("POST") ? 2000 : 1000);
-            node.loop.schedule(() -> { }, SWEEPS_MS, TimeUnit.MILLISECONDS).get();
+            node.loop.schedule(() -> { }, SWEEP_WAIT_MS, TimeUnit.MILLISECONDS).get();
         }
         assertEquals(200, c.receive().status());
     }
