--- a/gateway/src/test/java/marlford/gateway/net/FailedAcceptStopsAcceptingTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/AcceptFailureTest.java
@@ -27,29 +27,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An accept that fails costs that call alone: nobody who connects is left waiting, or reset with the listener. */
-class FailedAcceptStopsAcceptingTest extends SocketTest {
-    private static final int IN_A_ROW = 40; // a second each would be more than the test's patience
-    private static final int WAITING = 60; // connections in the listener's queue
+/** A failed accept affects only that call: no connection is left waiting, or reset with the listener. */
+class AcceptFailureTest extends SocketTest {
+    private static final int CONSECUTIVE_FAILURES = 40; // with a pause of one second each the test would time out
+    private static final int QUEUED_CONNECTIONS = 60;
 
-    private static final InetSocketAddress NOT_HERE = new InetSocketAddress("192.0.2.1", 0); // no address of any machine
+    // reserved for documentation, so no machine has it
+    private static final InetSocketAddress UNAVAILABLE_ADDRESS = new InetSocketAddress("192.0.2.1", 0);
 
-    private final AtomicInteger failing = new AtomicInteger();
+    private final AtomicInteger failingAccepts = new AtomicInteger();
     private final AtomicInteger failingBinds = new AtomicInteger();
-    private boolean hasSpare;
-    private int opening; // sockets, of which every other one fails where accepts do
+    private boolean hasSpareDescriptors;
+    private int openedSockets; // counts opened sockets, of which every other one fails while accepts fail
     private int port;
 
-    /** TCP, whose next accepts fail with this. */
-    private Transport failing(String error) {
+    /** TCP whose next accepts fail with this error. */
+    private Transport failingTransport(String error) {
         return new ForwardingTransport() {
             @Override
             ServerBootstrap server(EventLoopGroup group) {
                 return new ServerBootstrap().group(group).channelFactory(() -> new NioServerSocketChannel() {
                     @Override
                     protected int doReadMessages(List<Object> accepted) throws Exception {
-                        if (failing.get() > 0) {
-                            failing.decrementAndGet();
+                        if (failingAccepts.get() > 0) {
+                            failingAccepts.decrementAndGet();
                             throw new IOException(error);
                         }
                         return super.doReadMessages(accepted);
@@ -59,7 +60,7 @@
 
             @Override
             SocketChannel openSocket() throws IOException {
-                if (!hasSpare || opening++ % 2 == 0) {
+                if (!hasSpareDescriptors || openedSockets++ % 2 == 0) {
                     throw new IOException(error);
                 }
                 return super.openSocket();
@@ -67,7 +68,7 @@
 
             @Override
             SocketAddress at(InetSocketAddress address) {
-                return TCP.at(failingBinds.getAndUpdate(n -> Math.max(0, n - 1)) > 0 ? NOT_HERE : address);
+                return TCP.at(failingBinds.getAndUpdate(n -> Math.max(0, n - 1)) > 0 ? UNAVAILABLE_ADDRESS : address);
             }
         };
     }
@@ -79,86 +80,97 @@
     private Node node(String error, Clock clock) throws Exception {
         registry = kept(new Registry(list(1, true, entry("h0", host(SocketTest::echo).address(), "ready"))));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
-                DecisionEngine::new, failing(error), new NioEventLoopGroup(1), clock);
+                DecisionEngine::new, failingTransport(error), new NioEventLoopGroup(1), clock);
         ends.push(node::stop);
         node.start();
         port = node.port();
         return node;
     }
 
-    private Client connected() throws IOException {
+    private Client connectClient() throws IOException {
         return kept(new Client(new Socket(InetAddress.getLoopbackAddress(), port)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Software caused connection abort", "Too many open files", "No buffer space available",
         "Cannot allocate memory"})
-    void theNextIsTakenSoon(String error) throws Exception {
+    void acceptsContinueSoonAfterAFailure(String error) throws Exception {
         node(error);
-        failing.set(IN_A_ROW);
-        assertEquals(200, connected().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        failingAccepts.set(CONSECUTIVE_FAILURES);
+        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
     }
 
-    /** Who stands in the queue when the process is told to end, or another one takes its place, is heard. */
+    /** Connections in the accept queue are served when the process shuts down or another one takes its place. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoStandsInTheQueueAtTheListenersEndIsHeard(boolean replaced) throws Exception {
+    void queuedConnectionsAreServedWhenTheListenerCloses(boolean replaced) throws Exception {
         Node node = node("Too many open files in system");
         node.loop.submit(node.clients::pause).get();
         List<Client> waiting = new ArrayList<>();
-        for (int i = 0; i < WAITING; i++) {
-            waiting.add(connected().send(view("w" + i, Sockets.PATIENCE_MS)));
+        for (int i = 0; i < QUEUED_CONNECTIONS; i++) {
+            waiting.add(connectClient().send(view("w" + i, Sockets.PATIENCE_MS)));
         }
-        failing.set(IN_A_ROW);
+        failingAccepts.set(CONSECUTIVE_FAILURES);
         node.loop.submit(replaced ? node.clients::leave : node.clients::stopAccepting).get();
         for (Client c : waiting) {
             assertEquals(200, c.receive().status());
         }
     }
 
-    /** A successor that ends early hands the place back; a listener that can't be had at once was once given up for good. */
+    /**
+     * A successor that exits early returns the address; a listener that could not be opened at once was once given up
+     * for good.
+     */
     @Test
-    void aPlaceThatIsTakenBackIsListenedAtThoughTheFirstBindsFail() throws Exception {
+    void aReturnedAddressIsBoundAgainThoughTheFirstBindsFail() throws Exception {
         Node node = node("none");
         node.place(() -> { }).release();
         node.place(() -> { }).leave();
         failingBinds.set(3);
         node.place(() -> { }).takeBack();
-        Sockets.await(() -> node.loop.submit(() -> failingBinds.get() == 0 && node.clients.listener().isActive()).get(), "a listener");
+        Sockets.await(() -> node.loop.submit(() -> failingBinds.get() == 0 && node.clients.listener().isActive()).get(),
+                "the listener is open");
         port = node.port();
-        assertEquals(200, connected().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
     }
 
-    /** An idle connection gives way where no descriptor is left, or all would wait for its end. */
+    /**
+     * An idle connection is evicted where no descriptor is left; otherwise all new connections would wait for its
+     * end.
+     */
     @Test
-    void roomIsMadeWhereNoDescriptorIsLeft() throws Exception {
+    void anIdleConnectionIsEvictedWhereNoDescriptorIsLeft() throws Exception {
         Node node = node("Too many open files");
-        Client idle = connected();
+        Client idle = connectClient();
         assertEquals(200, idle.send(view("idle", Sockets.PATIENCE_MS)).receive().status());
-        failing.set(2);
-        assertEquals(200, connected().send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        Sockets.await(() -> node.loop.submit(node::connections).get() == 1, "the idle connection gave way");
+        failingAccepts.set(2);
+        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        Sockets.await(() -> node.loop.submit(node::connections).get() == 1, "the idle connection is evicted");
     }
 
-    /** Half of the sockets can't be opened just then, either. One failure in ten, with hardly anyone connected, once shut out nearly all for seconds. */
+    /**
+     * Half of the socket openings fail as well. With few clients connected, a failure rate of one in ten once
+     * disconnected nearly all of them for seconds.
+     */
     @Test
-    void nobodyGivesWayWhereDescriptorsAreLeft() throws Exception {
-        hasSpare = true;
-        node("Too many open files in system", MovedClock.standing()); // no client is idle for too long, however busy the machine
+    void noConnectionIsEvictedWhereDescriptorsAreLeft() throws Exception {
+        hasSpareDescriptors = true;
+        // a stopped clock, so that no client exceeds the idle time on a busy machine
+        node("Too many open files in system", MovedClock.standing());
         List<Client> idle = new ArrayList<>();
-        for (int i = 0; i < WAITING; i++) {
-            idle.add(connected());
+        for (int i = 0; i < QUEUED_CONNECTIONS; i++) {
+            idle.add(connectClient());
             assertEquals(200, idle.get(i).send(view("i" + i, Sockets.PATIENCE_MS)).receive().status());
         }
-        failing.set(IN_A_ROW);
-        assertEquals(200, connected().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        failingAccepts.set(CONSECUTIVE_FAILURES);
+        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
         for (Client c : idle) {
             assertEquals(200, c.send(view("again" + idle.indexOf(c), Sockets.PATIENCE_MS)).receive().status());
         }
     }
 
     @Test
-    void descriptorsAreLeftInATestOfFewSockets() {
+    void spareDescriptorsAreDetected() {
         assertTrue(Transport.TCP.hasSpareDescriptors());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/DescriptorsTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DescriptorExhaustionTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Idle clients take all descriptors that they can get while discovery is away, and go on so when it is back. */
-class DescriptorsTest {
-    private static final int CALLS_AWAY = 5;
+/** Idle clients take all descriptors they can get while discovery is unavailable, and continue when it is back. */
+class DescriptorExhaustionTest {
+    private static final int CALLS_WHILE_UNAVAILABLE = 5;
 
     @TempDir
     private Path folder;
@@ -32,7 +32,7 @@
     private int port;
 
     @AfterEach
-    void end() {
+    void stopProcess() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -46,11 +46,11 @@
                 .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + port + "\", \"disc")
                 .replace("\"sockets\": 1024", "\"sockets\": " + sockets);
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        ProcessBuilder java = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"",
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-cp",
                 System.getProperty("java.class.path"), "marlford.gateway.Main", "serve");
-        java.environment().put("NODE_CONFIG", file.toString());
-        process = java.redirectOutput(ProcessBuilder.Redirect.DISCARD)
+        builder.environment().put("NODE_CONFIG", file.toString());
+        process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(folder.resolve("log").toFile()).start();
     }
 
@@ -62,16 +62,16 @@
         }
     }
 
-    /** So many clients that connect, say nothing, and connect again whenever they are shut out. */
-    private static final class Crowd implements Closeable {
-        final AtomicInteger shutOut = new AtomicInteger();
+    /** A number of clients that connect, send nothing, and reconnect whenever they are disconnected. */
+    private static final class IdleClients implements Closeable {
+        final AtomicInteger disconnects = new AtomicInteger();
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        private volatile boolean over;
+        private volatile boolean closed;
 
-        Crowd(int port, int clients) {
+        IdleClients(int port, int clients) {
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < clients; i++) {
-                threads.add(new Thread(() -> stay(port)));
+                threads.add(new Thread(() -> stayConnected(port)));
             }
             for (Thread t : threads) {
                 t.setDaemon(true);
@@ -79,39 +79,39 @@
             }
         }
 
-        private void stay(int port) {
-            while (!over) {
+        private void stayConnected(int port) {
+            while (!closed) {
                 try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     sockets.add(s);
                     while (s.getInputStream().read() >= 0) {
-                        continue; // nothing is asked
+                        continue; // sends nothing
                     }
                     sockets.remove(s);
                 } catch (IOException e) {
-                    // reset: shut out as well
+                    // a reset counts as a disconnect as well
                 }
-                shutOut.incrementAndGet();
+                disconnects.incrementAndGet();
             }
         }
 
         @Override
         public void close() throws IOException {
-            over = true;
+            closed = true;
             for (Socket s : sockets) {
                 s.close();
             }
         }
     }
 
-    /** The second: a system that allows fewer descriptors than the settings say. */
+    /** The second case: the system allows fewer descriptors than the settings say. */
     @ParameterizedTest
     @CsvSource({"256, 256", "100, 1024"})
-    void aListComesThroughACrowdOnceDiscoveryIsBack(int descriptors, int sockets) throws Exception {
-        AtomicBoolean away = new AtomicBoolean(true);
+    void aListIsFetchedDespiteManyIdleClientsOnceDiscoveryIsBack(int descriptors, int sockets) throws Exception {
+        AtomicBoolean unavailable = new AtomicBoolean(true);
         AtomicInteger calls = new AtomicInteger();
         try (Server agent = new Server((m, s) -> {
             calls.incrementAndGet();
-            if (away.get()) {
+            if (unavailable.get()) {
                 s.setSoLinger(true, 0);
                 s.close();
             } else if (!m.start().contains("from=")) {
@@ -119,14 +119,14 @@
             }
         })) {
             start(agent.address(), descriptors, sockets);
-            Sockets.await(this::isUp, "a listener");
-            try (Crowd crowd = new Crowd(port, 2 * descriptors)) {
-                Sockets.await(() -> crowd.shutOut.get() > descriptors, "more than fit");
+            Sockets.await(this::isUp, "the listener is open");
+            try (IdleClients idleClients = new IdleClients(port, 2 * descriptors)) {
+                Sockets.await(() -> idleClients.disconnects.get() > descriptors, "more clients were disconnected than descriptors exist");
                 int before = calls.get();
-                Sockets.await(() -> calls.get() > before + CALLS_AWAY, "calls while it is away");
-                away.set(false);
+                Sockets.await(() -> calls.get() > before + CALLS_WHILE_UNAVAILABLE, "calls while the discovery agent is unavailable");
+                unavailable.set(false);
                 for (Message m = agent.next(); !m.start().contains("from=1&"); m = agent.next()) {
-                    assertNotNull(m, "no list was taken");
+                    assertNotNull(m, "the host list was not accepted");
                 }
                 assertTrue(process.isAlive());
             }
--- a/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
@@ -27,9 +27,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as the platform starts and ends it. */
-class ProcessTest {
-    private static final int DESCRIPTORS = 100;
+/** Starts and ends the program as a separate process, as the platform does. */
+class GatewayProcessTest {
+    private static final int DESCRIPTOR_LIMIT = 100;
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     @TempDir
@@ -38,7 +38,7 @@
     private int port;
 
     @AfterEach
-    void end() {
+    void stopProcess() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -48,15 +48,18 @@
         start(config, "");
     }
 
-    private void start(String config, String before) throws IOException {
+    /** Starts the program under a descriptor limit; {@code shellPrefix} runs first in the same shell. */
+    private void start(String config, String shellPrefix) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config);
-        ProcessBuilder b = new ProcessBuilder("sh", "-c", before + "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"", JAVA,
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", shellPrefix + "ulimit -n " + DESCRIPTOR_LIMIT + "; exec \"$0\" \"$@\"",
+                JAVA,
                 "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "marlford.gateway.Main", "serve");
-        b.environment().put("NODE_CONFIG", file.toString());
-        process = b.redirectOutput(ProcessBuilder.Redirect.DISCARD)
+        builder.environment().put("NODE_CONFIG", file.toString());
+        process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(dir.resolve("log").toFile()).start();
     }
 
+    /** Chooses a port that is free at the moment. */
     private void choosePort() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -69,85 +72,90 @@
         awaitReady();
     }
 
-    private void replace(String config) throws IOException {
+    /** Replaces the configuration file atomically, without a signal. */
+    private void replaceFile(String config) throws IOException {
         Path fresh = Files.writeString(dir.resolve("fresh.json"), config);
         Files.move(fresh, dir.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
     private String config(String discovery) {
-        return listening(Sockets.config(discovery, "127.0.0.1:0"));
+        return withChosenPort(Sockets.config(discovery, "127.0.0.1:0"));
     }
 
-    /** The configuration with the chosen port in place of any. */
-    private String listening(String config) {
+    /** The configuration with the chosen port as the listen address. */
+    private String withChosenPort(String config) {
         return config.replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + port + "\", \"disc");
     }
 
-    private void hangUp(String config) throws Exception {
+    /** Writes a configuration file and sends SIGHUP. */
+    private void reloadWith(String config) throws Exception {
         Files.writeString(dir.resolve("config.json"), config);
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     }
 
-    private void awaitLog(String part) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (!Files.readString(dir.resolve("log")).contains(part)) {
-            assertTrue(process.isAlive() && System.nanoTime() < end, "not logged: " + part);
+    private void awaitLog(String expected) throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        while (!Files.readString(dir.resolve("log")).contains(expected)) {
+            assertTrue(process.isAlive() && System.nanoTime() < deadline, "missing log text: " + expected);
             Thread.sleep(20);
         }
     }
 
     private void awaitReady() throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (!ready()) {
-            assertTrue(process.isAlive() && System.nanoTime() < end, "not ready");
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        while (!isReady()) {
+            assertTrue(process.isAlive() && System.nanoTime() < deadline, "health check did not succeed in time");
             Thread.sleep(20);
         }
     }
 
-    private boolean ready() {
+    private boolean isReady() {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(Sockets.PATIENCE_MS);
             s.getOutputStream().write(Sockets.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
-            Message answer = Sockets.read(s.getInputStream());
-            return answer != null && answer.status() == 200;
+            Message response = Sockets.read(s.getInputStream());
+            return response != null && response.status() == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** The event loop once died of this: the warning that no descriptor was left itself needed one. */
+    /** The event loop once died when no descriptor was left, because logging that warning itself needed one. */
     @Test
-    void runningOutOfDescriptorsPasses() throws Exception {
+    void survivesRunningOutOfDescriptors() throws Exception {
         startServing();
-        List<Socket> crowd = new ArrayList<>();
-        for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-            crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
+        List<Socket> connections = new ArrayList<>();
+        for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
+            connections.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         awaitLog("Too many open files");
-        for (Socket s : crowd) {
+        for (Socket s : connections) {
             s.close();
         }
         awaitReady();
     }
 
-    /** Else its first clients meet interpreted code, which on a part of a core serves half of them. */
+    /** Otherwise the first requests run interpreted code, which on a fraction of a core serves only half of them. */
     @Test
-    void isReadyOnlyOnceItsCodeIsWarm() throws Exception {
+    void isReadyOnlyAfterWarmUp() throws Exception {
         startServing();
         assertTrue(Files.readString(dir.resolve("log")).contains("warm after "));
     }
 
     @Test
-    void sigtermEndsItInOrder() throws Exception {
+    void sigtermShutsDownGracefully() throws Exception {
         startServing();
         process.destroy();
         assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    /** Told to end while discovery's first word is waited for: it once opened its listener all the same, and was gone soon. */
+    /**
+     * On SIGTERM while it waited for the first discovery response, the process once opened its listener all the same
+     * and exited soon after.
+     */
     @Test
-    void sigtermDuringTheStartEndsItUnserved() throws Exception {
+    void sigtermDuringTheStartExitsWithoutServing() throws Exception {
         try (Sockets.Server agent = new Sockets.Server((m, s) -> { })) {
             choosePort();
             start(config(agent.address()));
@@ -158,13 +166,13 @@
         }
     }
 
-    /** Its keepers' books are wanted for as long as nobody can start it anew. */
+    /** Other gateways need the ledgers that the process holds until it can be started again. */
     @Test
-    void amongOthersItKeepsBooksUntilItsTimeIsUp() throws Exception {
+    void withPeersItKeepsLedgersUntilTheShutdownTimeEnds() throws Exception {
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             choosePort();
-            String mine = "127.0.0.1:" + port;
-            start(listening(Sockets.config("127.0.0.1:1", mine, mine, "127.0.0.1:" + peer.getLocalPort())));
+            String ownAddress = "127.0.0.1:" + port;
+            start(withChosenPort(Sockets.config("127.0.0.1:1", ownAddress, ownAddress, "127.0.0.1:" + peer.getLocalPort())));
             awaitReady();
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
             process.destroy();
@@ -174,17 +182,20 @@
         }
     }
 
-    /** SIGHUP once ended the process; each new file moves discovery, and one that can't be read moves nothing. */
+    /**
+     * SIGHUP once ended the process. Each valid new file changes the discovery agent; an unreadable one changes
+     * nothing.
+     */
     @Test
-    void sighupFollowsDiscoveryAndSigtermStillEndsIt() throws Exception {
+    void sighupReloadsDiscoveryAndSigtermStillEndsTheProcess() throws Exception {
         try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
                 Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
             startServing();
             for (Sockets.Registry next : List.of(first, second, first)) {
-                hangUp("{\"name\": \"n0\"}");
+                reloadWith("{\"name\": \"n0\"}");
                 awaitLog("the settings stay as they were");
-                assertTrue(ready());
-                hangUp(config(next.server.address()));
+                assertTrue(isReady());
+                reloadWith(config(next.server.address()));
                 assertEquals("GET /v1/servers HTTP/1.1", next.server.next().start());
                 assertTrue(next.server.next().start().contains(next == first ? "from=7&" : "from=3&"));
             }
@@ -195,79 +206,82 @@
     }
 
     /**
-     * The cause of the reload days that broke the drain rule: under nohup SIGHUP is ignored from before the start, the
-     * virtual machine leaves it so, and the gateway went on with the discovery of its first file for good.
+     * Under nohup SIGHUP is ignored from before the start and the virtual machine leaves it ignored, so the gateway
+     * kept the discovery agent of its first file for good and broke the drain rule.
      */
     @Test
-    void aProcessThatWasStartedDeafToSighupStillFollowsItsFile() throws Exception {
+    void aProcessStartedWithSighupIgnoredStillFollowsItsFile() throws Exception {
         try (Sockets.Registry next = new Sockets.Registry(Sockets.list(7, true))) {
             choosePort();
             start(config("127.0.0.1:1"), "trap '' HUP; ");
             awaitReady();
-            hangUp(config(next.server.address()));
+            reloadWith(config(next.server.address()));
             assertNotNull(next.server.next());
             awaitLog("SIGHUP is ignored");
         }
     }
 
-    /** The virtual machine ends at a SIGHUP that comes before the program takes it, with status 129 and without a line. */
+    /**
+     * The virtual machine exits on a SIGHUP that arrives before the program handles it, with status 129 and without a
+     * log line.
+     */
     @Test
-    void sighupAheadOfTheProgramEndsItsStart() throws Exception {
+    void sighupBeforeTheProgramHandlesItDoesNotEndTheStart() throws Exception {
         String run = Files.readAllLines(Path.of("..", "deploy", "balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = \"")).findFirst().orElseThrow();
         choosePort();
         start(config("127.0.0.1:1"), run.substring(run.indexOf('"') + 1, run.indexOf("exec java")));
         Path name = Path.of("/proc", Long.toString(process.pid()), "comm");
         while (!Files.readString(name).startsWith("java")) {
-            assertTrue(process.isAlive()); // still the shell
+            assertTrue(process.isAlive()); // the shell still runs
         }
-        hangUp(config("127.0.0.1:1"));
+        reloadWith(config("127.0.0.1:1"));
         awaitReady();
     }
 
-    /** Whenever in a start the file is replaced, and though no signal follows, the process ends on the new one. */
+    /** The process ends up with the new file whenever during its start the file is replaced, even without a signal. */
     @ParameterizedTest
     @ValueSource(ints = {0, 150, 400, 800})
-    void aFileReplacedDuringTheStartIsTheOneThatCounts(int afterMs) throws Exception {
+    void aFileReplacedDuringTheStartIsUsed(int afterMs) throws Exception {
         try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
                 Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
             choosePort();
             start(config(first.server.address()));
-            Thread.sleep(afterMs); // not waited for: a moment of the start, and any will do
-            replace(config(second.server.address()));
+            Thread.sleep(afterMs); // no event is awaited: any moment of the start will do
+            replaceFile(config(second.server.address()));
             assertNotNull(second.server.next());
             assertTrue(second.server.next().start().contains("from=3&"));
             awaitReady();
         }
     }
 
-    /** Half a file, none at all, and two within a second, each without a further signal. */
+    /** A truncated file, a missing file, and two files within a second are each followed without a further signal. */
     @Test
-    void aFileHalfWrittenOrGoneIsLookedAtAgain() throws Exception {
+    void aTruncatedOrMissingFileIsReadAgain() throws Exception {
         try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
                 Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
             startServing();
             String whole = config(first.server.address());
-            hangUp(whole.substring(0, whole.length() / 2));
+            reloadWith(whole.substring(0, whole.length() / 2));
             awaitLog("the settings stay as they were");
             Files.writeString(dir.resolve("config.json"), whole);
             assertNotNull(first.server.next());
             Files.delete(dir.resolve("config.json"));
             awaitLog("can't read");
-            replace(config("127.0.0.1:1"));
-            replace(config(second.server.address()));
+            replaceFile(config("127.0.0.1:1"));
+            replaceFile(config(second.server.address()));
             assertNotNull(second.server.next());
         }
     }
 
-    /** What drains is still to stop sending to hosts that go, so it still follows discovery. */
+    /** A draining process must stop sending to hosts that drain, so it still follows discovery. */
     @Test
     void aDrainingProcessFollowsItsFile() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch answered = new CountDownLatch(1);
+        CountDownLatch requestReceived = new CountDownLatch(1);
+        CountDownLatch releaseResponse = new CountDownLatch(1);
         try (Sockets.Server host = new Sockets.Server((m, s) -> {
-                asked.countDown();
-                answered.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                requestReceived.countDown();
+                releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
                 s.getOutputStream().write(Sockets.ok("late"));
             });
                 Sockets.Registry first = new Sockets.Registry(
@@ -279,131 +293,147 @@
             awaitReady();
             client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             client.getOutputStream().write(Sockets.bytes(Sockets.view("v", Sockets.PATIENCE_MS)));
-            assertTrue(asked.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(requestReceived.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
             process.destroy();
-            replace(config(second.server.address()));
+            replaceFile(config(second.server.address()));
             assertNotNull(second.server.next());
-            answered.countDown();
+            releaseResponse.countDown();
             assertEquals("late", Sockets.read(client.getInputStream()).text());
             assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         }
     }
 
-    private Process beside(String log) throws IOException {
-        return beside(log, "config.json");
+    private Process startSecondProcess(String log) throws IOException {
+        return startSecondProcess(log, "config.json");
     }
 
-    private Process beside(String log, String config) throws IOException {
-        ProcessBuilder b = new ProcessBuilder(JAVA, "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
+    private Process startSecondProcess(String log, String config) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(JAVA, "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
                 "marlford.gateway.Main", "serve");
-        b.environment().put("NODE_CONFIG", dir.resolve(config).toString());
-        b.environment().put("TMPDIR", Files.createDirectories(dir.resolve("tmp")).toString());
-        return b.redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(dir.resolve(log).toFile()).start();
+        builder.environment().put("NODE_CONFIG", dir.resolve(config).toString());
+        builder.environment().put("TMPDIR", Files.createDirectories(dir.resolve("tmp")).toString());
+        return builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(dir.resolve(log).toFile()).start();
     }
 
-    /** The program beside itself: one that is killed gives the place back, one that lives lets the old one end. */
+    /**
+     * Starts the program beside a running one. A new process that is killed returns the serving role; one that stays
+     * alive lets the old process exit.
+     */
     @Test
-    void theRunningProgramIsReplacedOrServesOn() throws Exception {
+    void theRunningProcessIsReplacedOrServesOn() throws Exception {
         choosePort();
         Files.writeString(dir.resolve("config.json"), config("127.0.0.1:1"));
-        process = beside("log");
+        process = startSecondProcess("log");
         awaitReady();
-        Process killed = beside("killed");
+        Process killedProcess = startSecondProcess("killed");
         Process fresh = null;
         try {
             awaitLog("upgrade: the new process serves");
-            assertTrue(ready());
-            killed.destroyForcibly();
+            assertTrue(isReady());
+            killedProcess.destroyForcibly();
             awaitLog("the place is taken back");
             awaitReady();
-            fresh = beside("fresh");
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+            fresh = startSecondProcess("fresh");
+            long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
             while (Files.readString(dir.resolve("log")).split("the new process serves", -1).length < 3) {
-                assertTrue(System.nanoTime() < end && fresh.isAlive(), "not replaced");
+                assertTrue(System.nanoTime() < deadline && fresh.isAlive(), "the old process was not replaced");
                 Thread.sleep(20);
             }
             process.destroy();
             assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
-            assertTrue(ready());
+            assertTrue(isReady());
             assertTrue(fresh.isAlive());
         } finally {
-            killed.destroyForcibly();
+            killedProcess.destroyForcibly();
             if (fresh != null) {
                 fresh.destroyForcibly();
             }
         }
     }
 
-    /** It had taken peers and books when it was told to end: the running process once had neither until 3.4 s later. */
+    /**
+     * The new process had taken over peer address and ledgers when it received SIGTERM; the running process once had
+     * neither until 3.4 s later.
+     */
     @Test
-    void sigtermDuringAnUpgradeGivesThePlaceBackAtOnce() throws Exception {
+    void sigtermDuringAnUpgradeReturnsTheServingRoleAtOnce() throws Exception {
         choosePort();
         Files.writeString(dir.resolve("config.json"), config("127.0.0.1:1"));
-        process = beside("log");
+        process = startSecondProcess("log");
         awaitReady();
-        try (Sockets.Server agent = new Sockets.Server((m, s) -> { })) { // the new process waits for its first word
+        try (Sockets.Server agent = new Sockets.Server((m, s) -> { })) { // the new process waits for the first discovery response
             Files.writeString(dir.resolve("new.json"), config(agent.address()));
-            Process ended = beside("ended", "new.json");
+            Process terminated = startSecondProcess("ended", "new.json");
             try {
                 assertNotNull(agent.next());
-                ended.destroy();
-                assertTrue(ended.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                terminated.destroy();
+                assertTrue(terminated.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
                 awaitLog("did not come to serve, the place is taken back");
-                assertTrue(ready());
+                assertTrue(isReady());
                 assertFalse(Files.readString(dir.resolve("ended")).contains("serves after"));
             } finally {
-                ended.destroyForcibly();
+                terminated.destroyForcibly();
             }
         }
     }
 
-    /** Gateways of two deployments may have one name: the second once took the first one's place, and the first ended. */
+    /**
+     * Gateways of two deployments may have the same name: the second once took over from the first, which then
+     * exited.
+     */
     @Test
-    void aGatewayOfThatNameAtAnotherAddressIsLeftAlone() throws Exception {
+    void aGatewayOfTheSameNameAtAnotherAddressIsNotReplaced() throws Exception {
         choosePort();
         int first = port;
         Files.writeString(dir.resolve("config.json"), config("127.0.0.1:1"));
-        process = beside("log");
+        process = startSecondProcess("log");
         awaitReady();
         choosePort();
         Files.writeString(dir.resolve("other.json"), config("127.0.0.1:1"));
-        Process other = beside("other", "other.json");
+        Process otherGateway = startSecondProcess("other", "other.json");
         try {
             awaitReady();
             port = first;
-            assertTrue(ready());
+            assertTrue(isReady());
             assertFalse(Files.readString(dir.resolve("log")).contains("upgrade: "));
         } finally {
-            other.destroyForcibly();
+            otherGateway.destroyForcibly();
         }
     }
 
-    /** A running process of a version before waits under its name alone, and is replaced as ever. */
+    /**
+     * A running process of an earlier version listens for its successor under its name alone, and can still be
+     * replaced.
+     */
     @Test
-    void aProcessThatWaitsUnderItsNameAloneIsReplaced() throws Exception {
+    void aProcessOfAnEarlierVersionIsReplaced() throws Exception {
         choosePort();
         String config = config("127.0.0.1:1");
         Files.writeString(dir.resolve("config.json"), config);
         Path tmp = Files.createDirectories(dir.resolve("tmp"));
         CountDownLatch replaced = new CountDownLatch(1);
-        Node before = Sockets.node(config);
-        try (Successor successor = new Successor(RuntimeDirectory.before(tmp.toString(), "n0").successor(), before.place(() -> { }), line -> {
+        Node predecessor = Sockets.node(config);
+        try (Successor successor = new Successor(RuntimeDirectory.before(tmp.toString(), "n0").successor(),
+                predecessor.place(() -> { }), line -> {
             if (line.equals("upgrade: the new process serves")) {
                 replaced.countDown();
             }
         })) {
             successor.open();
-            process = beside("log");
+            process = startSecondProcess("log");
             assertTrue(replaced.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         } finally {
-            before.stop();
+            predecessor.stop();
         }
     }
 
-    /** But for what it says of a SIGHUP that the tests themselves were started to ignore, as under nohup. */
+    /**
+     * Leaves aside the line about an ignored SIGHUP, which appears when the tests themselves were started with SIGHUP
+     * ignored, as under nohup.
+     */
     @Test
-    void aBadConfigurationEndsItWithOneLine() throws Exception {
+    void anInvalidConfigurationEndsTheProcessWithOneLine() throws Exception {
         start("{\"name\": \"n0\"}");
         assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, process.exitValue());
--- a/gateway/src/test/java/marlford/gateway/net/LongListTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongListTest.java
@@ -20,15 +20,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program with the heap that it is deployed with, before lists of tens of thousands of hosts. */
+/** Starts the program with its deployed heap settings and gives it lists of tens of thousands of hosts. */
 class LongListTest {
-    private static final String[] MEMORY = {"-Xms24m", "-Xmx48m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+    private static final String[] DEPLOYED_JVM_OPTIONS = {"-Xms24m", "-Xmx48m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
         "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=16m", "-XX:MaxDirectMemorySize=16m", "-Xss512k",
         "-Dio.netty.leakDetection.level=disabled"};
-    private static final int FITS = 30_000;
-    private static final int TOO_MANY = 400_000;
-    private static final int CALLS_MAX = 20;
-    private static final int LISTS = 6;
+    private static final int FITTING_HOSTS = 30_000;
+    private static final int TOO_MANY_HOSTS = 400_000;
+    private static final int MAX_CALLS = 20;
+    private static final int LIST_COUNT = 6;
 
     @TempDir
     private Path folder;
@@ -36,7 +36,7 @@
     private int port;
 
     @AfterEach
-    void end() {
+    void stopProcess() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -50,7 +50,7 @@
                 .replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + port + "\", \"disc");
         Path file = Files.writeString(folder.resolve("config.json"), config);
         ProcessBuilder java = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        java.command().addAll(List.of(MEMORY));
+        java.command().addAll(List.of(DEPLOYED_JVM_OPTIONS));
         java.command().addAll(List.of("-cp", System.getProperty("java.class.path"), "marlford.gateway.Main", "serve"));
         java.environment().put("NODE_CONFIG", file.toString());
         process = java.redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(log().toFile()).start();
@@ -60,108 +60,115 @@
         return folder.resolve("log");
     }
 
-    private long logged(String part) throws IOException {
-        return Files.readString(log()).lines().filter(line -> line.contains(part)).count();
+    /** The number of log lines that contain a text. */
+    private long countLogLines(String text) throws IOException {
+        return Files.readString(log()).lines().filter(line -> line.contains(text)).count();
     }
 
-    private int health() {
+    private int healthStatus() {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(Sockets.PATIENCE_MS);
             s.getOutputStream().write(Sockets.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
-            Message answer = Sockets.read(s.getInputStream());
-            return answer == null ? 0 : answer.status();
+            Message response = Sockets.read(s.getInputStream());
+            return response == null ? 0 : response.status();
         } catch (IOException e) {
             return 0;
         }
     }
 
-    /** Writes a whole list of so many hosts, a part at a time; the first ones are these. */
-    private static void write(OutputStream out, int version, int hosts, String... first) throws IOException {
+    /** Writes a full list with this number of hosts in chunks; the given entries come first. */
+    private static void writeList(OutputStream out, int version, int hosts, String... firstEntries) throws IOException {
         String head = "{\"version\":" + version + ",\"full\":true,\"servers\":[";
         out.write(Sockets.bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-        chunk(out, head + String.join(",", first));
-        StringBuilder part = new StringBuilder();
-        for (int i = first.length; i < hosts; i++) {
-            part.append(i == 0 ? "" : ",").append(Sockets.entry("s-" + Integer.toHexString(0x5be20000 + i),
+        writeChunk(out, head + String.join(",", firstEntries));
+        StringBuilder entries = new StringBuilder();
+        for (int i = firstEntries.length; i < hosts; i++) {
+            entries.append(i == 0 ? "" : ",").append(Sockets.entry("s-" + Integer.toHexString(0x5be20000 + i),
                     "10." + (i >> 16) + "." + (i >> 8 & 255) + "." + (i & 255) + ":5000", "ready"));
-            if (part.length() > 8000) {
-                chunk(out, part.toString());
-                part.setLength(0);
+            if (entries.length() > 8000) {
+                writeChunk(out, entries.toString());
+                entries.setLength(0);
             }
         }
-        chunk(out, part + "]}");
+        writeChunk(out, entries + "]}");
         out.write(Sockets.bytes("0\r\n\r\n"));
     }
 
-    private static void chunk(OutputStream out, String text) throws IOException {
+    private static void writeChunk(OutputStream out, String text) throws IOException {
         out.write(Sockets.bytes(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
     }
 
-    /** One of the next calls, of which there may be a few while the machine is slow. */
-    private void await(Server agent, String part) throws Exception {
-        for (int calls = 0; calls < CALLS_MAX; calls++) {
+    /**
+     * Waits for a call whose start line contains a text, among the next calls; a slow machine may cause several
+     * others.
+     */
+    private void awaitCall(Server agent, String text) throws Exception {
+        for (int calls = 0; calls < MAX_CALLS; calls++) {
             Message m = agent.next();
-            assertNotNull(m, "not called again");
-            if (m.start().contains(part)) {
+            assertNotNull(m, "no further call to the discovery agent");
+            if (m.start().contains(text)) {
                 return;
             }
         }
-        fail("never asked: " + part + "; " + Files.readString(log()));
+        fail("no call contained: " + text + "; " + Files.readString(log()));
     }
 
-    /** With 30,000 hosts the tree of the text alone filled the heap; with 40,000 their text passed a fixed bound. */
+    /**
+     * With 30,000 hosts the JSON tree of the list alone once filled the heap; with 40,000 the text once exceeded a
+     * fixed limit.
+     */
     @Test
     void thirtyThousandHostsFitIntoTheDeployedHeap() throws Exception {
         AtomicInteger lists = new AtomicInteger();
         try (Server agent = new Server((m, s) -> {
-            if (lists.get() < LISTS) { // each but the first while another is held
-                write(s.getOutputStream(), lists.incrementAndGet(), FITS);
+            if (lists.get() < LIST_COUNT) { // each but the first arrives while the previous list is in memory
+                writeList(s.getOutputStream(), lists.incrementAndGet(), FITTING_HOSTS);
             }
         })) {
             start(agent.address());
-            await(agent, "from=" + LISTS + "&");
-            assertEquals(LISTS, logged("lists " + FITS + " hosts"), Files.readString(log()));
-            assertEquals(0, logged("OutOfMemory") + logged("heap space"), Files.readString(log()));
-            Sockets.await(() -> health() == 200, "health with a list");
+            awaitCall(agent, "from=" + LIST_COUNT + "&");
+            assertEquals(LIST_COUNT, countLogLines("lists " + FITTING_HOSTS + " hosts"), Files.readString(log()));
+            assertEquals(0, countLogLines("OutOfMemory") + countLogLines("heap space"), Files.readString(log()));
+            Sockets.await(() -> healthStatus() == 200, "healthy with a host list");
         }
     }
 
-    /** It was read twenty times a second from then on; the line said nothing of a limit. */
+    /** Such a list was once fetched twenty times a second from then on, and the log line did not name the limit. */
     @Test
-    void aListThatDoesNotFitIsSaidOnceAndTheOldOneServes() throws Exception {
+    void aListThatDoesNotFitIsLoggedOnceAndThePreviousListServes() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Server host = new Server(SocketTest::echo);
                 Server agent = new Server((m, s) -> {
                     if (calls.getAndIncrement() == 0) {
-                        write(s.getOutputStream(), 1, 1, Sockets.entry("h0", host.address(), "ready"));
+                        writeList(s.getOutputStream(), 1, 1, Sockets.entry("h0", host.address(), "ready"));
                     } else {
-                        write(s.getOutputStream(), 2, TOO_MANY);
+                        writeList(s.getOutputStream(), 2, TOO_MANY_HOSTS);
                     }
                 })) {
             start(agent.address());
-            await(agent, "from=1&");
+            awaitCall(agent, "from=1&");
             for (int i = 0; i < 2; i++) {
                 assertEquals("GET /v1/servers HTTP/1.1", agent.next().start());
             }
-            Sockets.await(() -> health() == 200, "health with a list");
+            Sockets.await(() -> healthStatus() == 200, "healthy with a host list");
             try (Sockets.Client c = new Sockets.Client(new Socket(InetAddress.getLoopbackAddress(), port))) {
                 assertEquals(200, c.send(Sockets.view("l", Sockets.PATIENCE_MS)).receive().status());
             }
-            assertEquals(1, logged("the list names more than"), Files.readString(log()));
+            assertEquals(1, countLogLines("the list names more than"), Files.readString(log()));
         }
     }
 
-    /** Nothing is known of any host: health says no for as long as a start may take. */
+    /** Without any host list the health check fails for as long as a start may take. */
     @Test
-    void aStartBeforeAListThatDoesNotFitIsUnhealthyAtFirst() throws Exception {
-        try (Server agent = new Server((m, s) -> write(s.getOutputStream(), 1, TOO_MANY))) {
+    void aStartWithAListThatDoesNotFitIsUnhealthyAtFirst() throws Exception {
+        try (Server agent = new Server((m, s) -> writeList(s.getOutputStream(), 1, TOO_MANY_HOSTS))) {
             start(agent.address());
             for (int calls = 0; calls < 3; calls++) {
                 assertNotNull(agent.next());
             }
-            Sockets.await(() -> health() == 200, "health at the end of the start's time");
-            assertEquals(1, logged("the list names more than"), Files.readString(log()));
-            assertEquals(1, logged("no list of hosts yet"), Files.readString(log()));
+            Sockets.await(() -> healthStatus() == 200, "healthy once the time limit of the start has expired");
+            assertEquals(1, countLogLines("the list names more than"), Files.readString(log()));
+            assertEquals(1, countLogLines("no list of hosts yet"), Files.readString(log()));
             assertTrue(process.isAlive());
         }
     }
--- a/gateway/src/test/java/marlford/gateway/net/FailedSocketEndsTheStartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StartSocketFailureTest.java
@@ -23,13 +23,13 @@
 import marlford.gateway.net.Sockets.Registry;
 import org.junit.jupiter.api.Test;
 
-/** A system that has no descriptor for a moment ends no start; an address that somebody else has does. */
-class FailedSocketEndsTheStartTest extends SocketTest {
-    private static final int IN_A_ROW = 3;
+/** A temporary lack of descriptors does not fail a start; an address that another process uses does. */
+class StartSocketFailureTest extends SocketTest {
+    private static final int CONSECUTIVE_FAILURES = 3;
 
     private final AtomicInteger failingSockets = new AtomicInteger();
-    private final AtomicInteger failingClaims = new AtomicInteger();
-    private IOException claimFailure = new SocketException("Too many open files in system");
+    private final AtomicInteger failingAddressChecks = new AtomicInteger();
+    private IOException addressCheckFailure = new SocketException("Too many open files in system");
 
     private final Transport transport = new ForwardingTransport() {
         @Override
@@ -44,8 +44,8 @@
 
         @Override
         void claim(InetSocketAddress address) throws IOException {
-            if (failingClaims.getAndDecrement() > 0) {
-                throw claimFailure;
+            if (failingAddressChecks.getAndDecrement() > 0) {
+                throw addressCheckFailure;
             }
             TCP.claim(address);
         }
@@ -59,7 +59,7 @@
         return node;
     }
 
-    private void servesAfterAStart() throws Exception {
+    private void assertServesAfterStart() throws Exception {
         Node node = node();
         node.start();
         try (Client c = new Client(node)) {
@@ -68,24 +68,24 @@
     }
 
     @Test
-    void aListenerWithoutASocketIsTriedAgain() throws Exception {
-        failingSockets.set(IN_A_ROW);
-        servesAfterAStart();
+    void openingTheListenerSocketIsRetried() throws Exception {
+        failingSockets.set(CONSECUTIVE_FAILURES);
+        assertServesAfterStart();
         assertTrue(failingSockets.get() < 0);
     }
 
     @Test
-    void anAddressThatCouldNotBeLookedAtIsLookedAtAgain() throws Exception {
-        failingClaims.set(IN_A_ROW);
-        servesAfterAStart();
-        assertTrue(failingClaims.get() < 0);
+    void theAddressCheckIsRetried() throws Exception {
+        failingAddressChecks.set(CONSECUTIVE_FAILURES);
+        assertServesAfterStart();
+        assertTrue(failingAddressChecks.get() < 0);
     }
 
     @Test
-    void anAddressInUseEndsTheStartAtOnce() throws Exception {
-        claimFailure = new IOException("somebody else has the address", new BindException("Address already in use"));
-        failingClaims.set(IN_A_ROW);
+    void anAddressInUseFailsTheStartAtOnce() throws Exception {
+        addressCheckFailure = new IOException("somebody else has the address", new BindException("Address already in use"));
+        failingAddressChecks.set(CONSECUTIVE_FAILURES);
         assertThrows(IOException.class, node()::start);
-        assertEquals(IN_A_ROW - 1, failingClaims.get());
+        assertEquals(CONSECUTIVE_FAILURES - 1, failingAddressChecks.get());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two nodes at one address, of which the second takes the first one's place, or fails to. */
+/** Two nodes at one address; the second takes over from the first, or fails to. */
 class UpgradeTest extends SocketTest {
     private static final int CLIENTS = 8;
     private static final int UPGRADES = 5;
@@ -60,92 +60,92 @@
                 .replace("127.0.0.1:0\", \"disc", own + "\", \"disc");
     }
 
-    private Path path() {
+    private Path socketPath() {
         return dir.resolve("s");
     }
 
-    private Node before(Server host) throws IOException {
+    private Node startOldNode(Server host) throws IOException {
         registry = kept(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
         Node node = running(config());
-        waitingForNext(node);
+        listenForSuccessor(node);
         return node;
     }
 
-    private void waitingForNext(Node node) throws IOException {
-        Successor successor = kept(new Successor(path(), node.place(() -> { }), Node::log));
+    private void listenForSuccessor(Node node) throws IOException {
+        Successor successor = kept(new Successor(socketPath(), node.place(() -> { }), Node::log));
         successor.open();
     }
 
-    /** Of a start that has just begun, whatever this machine's speed. */
-    private static StartBudget inTime() {
+    /** The budget of a start that has just begun, independent of this machine's speed. */
+    private static StartBudget freshBudget() {
         return new StartBudget(() -> 0);
     }
 
-    private Predecessor predecessor() throws Exception {
-        Predecessor old = Predecessor.find(path(), Sockets.PATIENCE_MS);
-        assertNotNull(old);
-        return kept(old);
+    private Predecessor connectToOldNode() throws Exception {
+        Predecessor found = Predecessor.find(socketPath(), Sockets.PATIENCE_MS);
+        assertNotNull(found);
+        return kept(found);
     }
 
-    private Node after(String config) throws Exception {
+    private Node startNewNode(String config) throws Exception {
         Node node = Sockets.unstarted(config);
         ends.push(node::stop);
-        node.start(predecessor(), inTime());
+        node.start(connectToOldNode(), freshBudget());
         return node;
     }
 
-    /** Clients as they are: connections are kept, and one that was closed while idle makes them connect anew. */
-    private final class Regular implements Callable<List<String>> {
+    /** A client with a persistent connection; it reconnects when the connection was closed while idle. */
+    private final class PersistentClient implements Callable<List<String>> {
         private final String name;
-        private final AtomicBoolean over;
+        private final AtomicBoolean stopped;
         private Socket socket;
 
-        Regular(String name, AtomicBoolean over) {
+        PersistentClient(String name, AtomicBoolean stopped) {
             this.name = name;
-            this.over = over;
+            this.stopped = stopped;
         }
 
-        private Message ask(String request) throws IOException {
+        private Message exchange(String request) throws IOException {
             if (socket == null) {
                 socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 socket.setSoTimeout(Sockets.PATIENCE_MS);
             }
-            Message answer;
+            Message response;
             try {
                 socket.getOutputStream().write(Sockets.bytes(request));
-                answer = Sockets.read(socket.getInputStream());
+                response = Sockets.read(socket.getInputStream());
             } catch (IOException e) {
-                answer = null; // closed, as between two requests it may be
+                response = null; // closed, which is allowed between two requests
             }
-            if (answer == null || "close".equals(answer.header("Connection"))) {
+            if (response == null || "close".equals(response.header("Connection"))) {
                 socket.close();
                 socket = null;
             }
-            return answer;
+            return response;
         }
 
         @Override
         public List<String> call() throws Exception {
-            List<String> wrong = new ArrayList<>();
-            for (int i = 0; !over.get(); i++) {
+            List<String> failures = new ArrayList<>();
+            for (int i = 0; !stopped.get(); i++) {
                 String id = name + "-" + i;
                 String request = i % 3 == 0 ? order(id, "b") : view(id, Sockets.PATIENCE_MS);
-                Message answer = ask(request);
-                if (answer == null) {
-                    answer = ask(request); // once more on a new one, as the protocol has it
+                Message response = exchange(request);
+                if (response == null) {
+                    response = exchange(request); // retries on a new connection, as HTTP allows for a closed idle one
                 }
-                if (answer == null || answer.status() != 200 || !answer.text().startsWith("for " + id)) {
-                    wrong.add(id + ": " + (answer == null ? "no answer" : answer.start()));
+                if (response == null || response.status() != 200 || !response.text().startsWith("for " + id)) {
+                    failures.add(id + ": " + (response == null ? "no answer" : response.start()));
                 }
                 Thread.sleep(1);
             }
-            return wrong;
+            return failures;
         }
     }
 
-    /** Every request gets its own answer, and no order runs twice, while one process after another takes over. */
+    /** Every request gets its own answer, and no order runs twice, while processes take over from each other. */
     @Test
-    void noRequestIsLostThroughUpgradesInARow() throws Exception {
+    void noRequestIsLostThroughConsecutiveUpgrades() throws Exception {
         AtomicInteger orders = new AtomicInteger();
         Server host = host((m, s) -> {
             if (m.start().startsWith("POST")) {
@@ -153,27 +153,27 @@
             }
             echo(m, s);
         });
-        before(host);
-        AtomicBoolean over = new AtomicBoolean();
+        startOldNode(host);
+        AtomicBoolean stopped = new AtomicBoolean();
         ExecutorService threads = Executors.newFixedThreadPool(CLIENTS);
         try {
             List<Future<List<String>>> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(threads.submit(new Regular("c" + i, over)));
+                clients.add(threads.submit(new PersistentClient("c" + i, stopped)));
             }
             for (int i = 0; i < UPGRADES; i++) {
-                int had = host.asked.size();
-                while (host.asked.size() < had + 10 * CLIENTS) {
-                    Thread.sleep(1); // there is load before each
+                int requestsBefore = host.asked.size();
+                while (host.asked.size() < requestsBefore + 10 * CLIENTS) {
+                    Thread.sleep(1); // load precedes each upgrade
                 }
-                waitingForNext(after(config()));
+                listenForSuccessor(startNewNode(config()));
             }
-            over.set(true);
+            stopped.set(true);
             for (Future<List<String>> c : clients) {
                 assertEquals(List.of(), c.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
             }
         } finally {
-            over.set(true);
+            stopped.set(true);
             threads.shutdown();
         }
         long distinct = host.asked.stream().filter(m -> m.start().startsWith("POST"))
@@ -182,50 +182,50 @@
     }
 
     @Test
-    void whatTheOldProcessHoldsIsAnsweredThere() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    void openRequestsAreAnsweredByTheOldProcess() throws Exception {
+        CountDownLatch releaseResponse = new CountDownLatch(1);
         Server host = host((m, s) -> {
             if (m.start().startsWith("POST")) {
-                held.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        Node old = before(host);
-        Client busy = client(old).send(order("o", "b"));
-        Client idle = client(old).send(view("v", Sockets.PATIENCE_MS));
+        Node oldNode = startOldNode(host);
+        Client busy = client(oldNode).send(order("o", "b"));
+        Client idle = client(oldNode).send(view("v", Sockets.PATIENCE_MS));
         assertEquals(200, idle.receive().status());
-        Client silent = client(old); // it has yet to ask
+        Client silent = client(oldNode); // has not sent a request yet
         assertNotNull(host.next());
-        while (old.loop.submit(old::connections).sync().getNow() < 3) {
+        while (oldNode.loop.submit(oldNode::connections).sync().getNow() < 3) {
             Thread.sleep(1);
         }
-        Node fresh = after(config());
+        Node newNode = startNewNode(config());
         assertNull(idle.receive());
         assertEquals("for late ", silent.send(view("late", Sockets.PATIENCE_MS)).receive().text());
         assertNull(silent.receive());
-        assertEquals("for new ", client(fresh).send(view("new", Sockets.PATIENCE_MS)).receive().text());
-        held.countDown();
-        Message answer = busy.receive();
-        assertEquals("for o b", answer.text());
-        assertEquals("close", answer.header("Connection"));
+        assertEquals("for new ", client(newNode).send(view("new", Sockets.PATIENCE_MS)).receive().text());
+        releaseResponse.countDown();
+        Message response = busy.receive();
+        assertEquals("for o b", response.text());
+        assertEquals("close", response.header("Connection"));
         assertEquals(1, host.asked.stream().filter(m -> m.start().startsWith("POST")).count());
-        old.stop();
-        assertEquals("for on ", client(fresh).send(view("on", Sockets.PATIENCE_MS)).receive().text());
+        oldNode.stop();
+        assertEquals("for on ", client(newNode).send(view("on", Sockets.PATIENCE_MS)).receive().text());
     }
 
     @Test
-    void aNewProcessThatDiesGivesThePlaceBack() throws Exception {
+    void aNewProcessThatStopsReturnsTheServingRole() throws Exception {
         Server host = host(SocketTest::echo);
-        Node old = before(host);
-        Node fresh = Sockets.unstarted(config());
-        Predecessor link = predecessor();
-        fresh.start(link, inTime());
-        assertEquals("for a ", client(fresh).send(view("a", Sockets.PATIENCE_MS)).receive().text());
-        fresh.stop();
+        Node oldNode = startOldNode(host);
+        Node newNode = Sockets.unstarted(config());
+        Predecessor link = connectToOldNode();
+        newNode.start(link, freshBudget());
+        assertEquals("for a ", client(newNode).send(view("a", Sockets.PATIENCE_MS)).receive().text());
+        newNode.stop();
         link.close();
-        Sockets.await(() -> serves("b"), "somebody serves");
-        Client kept = client(old).send(view("c", Sockets.PATIENCE_MS));
-        assertNull(kept.receive().header("Connection")); // and connections stay again
+        Sockets.await(() -> serves("b"), "the old process serves again");
+        Client kept = client(oldNode).send(view("c", Sockets.PATIENCE_MS));
+        assertNull(kept.receive().header("Connection")); // connections are persistent again
         assertEquals(200, kept.send(view("d", Sockets.PATIENCE_MS)).receive().status());
     }
 
@@ -233,46 +233,46 @@
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(Sockets.PATIENCE_MS);
             s.getOutputStream().write(Sockets.bytes(view(id, Sockets.PATIENCE_MS)));
-            Message answer = Sockets.read(s.getInputStream());
-            return answer != null && answer.status() == 200;
+            Message response = Sockets.read(s.getInputStream());
+            return response != null && response.status() == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Datagrams to the shared address reach the process that decides, also after it has fallen back. */
+    /** Datagrams to the shared address reach the process that decides, also after the serving role has been returned. */
     @Test
-    void peersAreHeardByTheProcessThatServes() throws Exception {
+    void peerMessagesReachTheServingProcess() throws Exception {
         registry = kept(new Registry(list(1, true)));
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             String config = config("127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
-            Node old = running(config);
-            waitingForNext(old);
-            Node fresh = Sockets.unstarted(config);
-            Predecessor link = predecessor();
-            fresh.start(link, inTime());
-            awaitMissed(peer, fresh);
-            assertTrue(!old.isMissed());
-            fresh.stop();
+            Node oldNode = running(config);
+            listenForSuccessor(oldNode);
+            Node newNode = Sockets.unstarted(config);
+            Predecessor link = connectToOldNode();
+            newNode.start(link, freshBudget());
+            awaitPeerMessageAt(peer, newNode);
+            assertTrue(!oldNode.isMissed());
+            newNode.stop();
             link.close();
-            awaitMissed(peer, old);
+            awaitPeerMessageAt(peer, oldNode);
         }
     }
 
-    private void awaitMissed(DatagramSocket peer, Node node) throws Exception {
+    private void awaitPeerMessageAt(DatagramSocket peer, Node node) throws Exception {
         Sockets.await(() -> {
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
             return node.isMissed();
-        }, "the peer is heard");
+        }, "the peer's message is received");
     }
 
-    /** The option that two processes of one gateway need must not let two gateways share an address. */
+    /** The socket option that lets two processes of one gateway share an address must not let two gateways share it. */
     @Test
-    void anAddressThatSomebodyElseHasIsNotShared() throws Exception {
-        before(host(SocketTest::echo));
-        Node stranger = Sockets.unstarted(config());
-        ends.push(stranger::stop);
-        IOException e = assertThrows(IOException.class, stranger::start);
+    void anAddressInUseIsNotShared() throws Exception {
+        startOldNode(host(SocketTest::echo));
+        Node otherNode = Sockets.unstarted(config());
+        ends.push(otherNode::stop);
+        IOException e = assertThrows(IOException.class, otherNode::start);
         assertTrue(e.getMessage().contains("somebody else has the address"), e.getMessage());
         assertTrue(serves("v"));
     }
