--- a/gateway/src/main/java/marlford/gateway/list/HostListLimit.java
+++ b/gateway/src/main/java/marlford/gateway/list/HostListLimit.java
@@ -11,7 +11,7 @@
     /**
      * Heap that one host takes, in bytes, while a list that names it replaces another one: its entries in the list, the
      * connection pools, the decision engine and the console, plus the entries of the replaced list, which are still
-     * referenced meanwhile. LongListTest shows that the figure suffices.
+     * referenced meanwhile. LongHostListTest shows that the figure suffices.
      */
     private static final double HEAP_BYTES_PER_HOST = 1150;
 
--- a/gateway/src/test/java/marlford/gateway/net/AcceptFailureTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/AcceptFailureTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.DecisionEngine;
 import marlford.gateway.net.Sockets.Client;
-import marlford.gateway.net.Sockets.Registry;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -78,7 +78,7 @@
     }
 
     private Node node(String error, Clock clock) throws Exception {
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionEngine::new, failingTransport(error), new NioEventLoopGroup(1), clock);
         resources.push(node::stop);
@@ -97,7 +97,7 @@
     void acceptsContinueSoonAfterAFailure(String error) throws Exception {
         node(error);
         failingAccepts.set(CONSECUTIVE_FAILURES);
-        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, connectClient().send(view("a", Sockets.TIMEOUT_MS)).receive().status());
     }
 
     /** Connections in the accept queue are served when the process shuts down or another one takes its place. */
@@ -108,7 +108,7 @@
         node.loop.submit(node.clientServer::pauseAccepting).get();
         List<Client> waiting = new ArrayList<>();
         for (int i = 0; i < QUEUED_CONNECTIONS; i++) {
-            waiting.add(connectClient().send(view("w" + i, Sockets.PATIENCE_MS)));
+            waiting.add(connectClient().send(view("w" + i, Sockets.TIMEOUT_MS)));
         }
         failingAccepts.set(CONSECUTIVE_FAILURES);
         node.loop.submit(replaced ? node.clientServer::closeForSuccessor : node.clientServer::stopAccepting).get();
@@ -131,7 +131,7 @@
         Sockets.await(() -> node.loop.submit(() -> failingBinds.get() == 0 && node.clientServer.listener().isActive()).get(),
                 "the listener is open");
         port = node.port();
-        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, connectClient().send(view("a", Sockets.TIMEOUT_MS)).receive().status());
     }
 
     /**
@@ -142,9 +142,9 @@
     void anIdleConnectionIsEvictedWhereNoDescriptorIsLeft() throws Exception {
         Node node = node("Too many open files");
         Client idle = connectClient();
-        assertEquals(200, idle.send(view("idle", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, idle.send(view("idle", Sockets.TIMEOUT_MS)).receive().status());
         failingAccepts.set(2);
-        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, connectClient().send(view("a", Sockets.TIMEOUT_MS)).receive().status());
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "the idle connection is evicted");
     }
 
@@ -156,16 +156,16 @@
     void noConnectionIsEvictedWhereDescriptorsAreLeft() throws Exception {
         hasSpareDescriptors = true;
         // a stopped clock, so that no client exceeds the idle time on a busy machine
-        node("Too many open files in system", MovedClock.standing());
+        node("Too many open files in system", ManualClock.stopped());
         List<Client> idle = new ArrayList<>();
         for (int i = 0; i < QUEUED_CONNECTIONS; i++) {
             idle.add(connectClient());
-            assertEquals(200, idle.get(i).send(view("i" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, idle.get(i).send(view("i" + i, Sockets.TIMEOUT_MS)).receive().status());
         }
         failingAccepts.set(CONSECUTIVE_FAILURES);
-        assertEquals(200, connectClient().send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, connectClient().send(view("a", Sockets.TIMEOUT_MS)).receive().status());
         for (Client c : idle) {
-            assertEquals(200, c.send(view("again" + idle.indexOf(c), Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, c.send(view("again" + idle.indexOf(c), Sockets.TIMEOUT_MS)).receive().status());
         }
     }
 
--- a/gateway/src/test/java/marlford/gateway/net/BlockedHost.java
+++ b/gateway/src/test/java/marlford/gateway/net/BlockedHost.java
@@ -62,7 +62,7 @@
     private void serve(Socket s) {
         try {
             for (Sockets.Message m = Sockets.read(s.getInputStream()); m != null; m = Sockets.read(s.getInputStream())) {
-                requestLines.add(m.start());
+                requestLines.add(m.startLine());
                 SocketTest.echo(m, s);
             }
         } catch (IOException e) {
--- a/gateway/src/test/java/marlford/gateway/net/ConsoleTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ConsoleTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -30,7 +30,7 @@
     /** Connects to the console. */
     private Socket connect(Node node) throws IOException {
         Socket socket = closeAfterTest(new Socket(node.consoleAddress().getAddress(), node.consoleAddress().getPort()));
-        socket.setSoTimeout(Sockets.PATIENCE_MS);
+        socket.setSoTimeout(Sockets.TIMEOUT_MS);
         return socket;
     }
 
@@ -68,14 +68,14 @@
     /** Sends a request to the gateway on a new connection and returns the status. */
     private int sendRequest(Node node, String id) throws IOException {
         try (Client client = new Client(node)) {
-            return client.send(view(id, Sockets.PATIENCE_MS)).receive().status();
+            return client.send(view(id, Sockets.TIMEOUT_MS)).receive().status();
         }
     }
 
     @Test
     void aCordonedHostGetsNoRequestsUntilItIsUncordoned() throws Exception {
-        Server one = startHost(SocketTest::echo);
-        Server two = startHost(SocketTest::echo);
+        RecordingServer one = startHost(SocketTest::echo);
+        RecordingServer two = startHost(SocketTest::echo);
         Node node = startNodeWithHosts(one, two);
         assertEquals(200, post(node, "/admin/cordon", "h0"));
         assertEquals(200, post(node, "/admin/cordon", "h0")); // a repeated cordon is undone by one uncordon
@@ -83,22 +83,22 @@
         for (int i = 0; i < 20; i++) {
             assertEquals(200, sendRequest(node, "out" + i));
         }
-        assertEquals(List.of(), one.asked);
+        assertEquals(List.of(), one.requests);
         awaitMetric(node, "svc.cluster_unhealthy", 1);
         awaitDiscoveryWatches(1);
-        registry.news.add(list(2, true, entry("h0", one.address(), "ready"), entry("h1", two.address(), "ready")));
+        registry.updates.add(list(2, true, entry("h0", one.address(), "ready"), entry("h1", two.address(), "ready")));
         awaitDiscoveryWatches(2);
         for (int i = 0; i < 20; i++) {
             assertEquals(200, sendRequest(node, "still" + i));
         }
-        assertEquals(List.of(), one.asked);
+        assertEquals(List.of(), one.requests);
         assertEquals(200, post(node, "/admin/uncordon", "h0"));
         assertEquals(200, post(node, "/admin/cordon", "h1"));
         awaitCommands(node);
         for (int i = 0; i < 20; i++) {
             assertEquals(200, sendRequest(node, "back" + i));
         }
-        assertEquals(20, one.asked.size());
+        assertEquals(20, one.requests.size());
         awaitMetric(node, "svc.cluster_size", 2);
         awaitMetric(node, "svc.cluster_unhealthy", 1);
     }
@@ -106,12 +106,12 @@
     /** A cordoned host that restarts may be missing from the list for a while; it can be uncordoned all the same. */
     @Test
     void aCordonedHostThatIsNoLongerListedCanBeUncordoned() throws Exception {
-        Server one = startHost(SocketTest::echo);
+        RecordingServer one = startHost(SocketTest::echo);
         Node node = startNodeWithHosts(one);
         assertEquals(200, post(node, "/admin/cordon", "h0"));
         awaitMetric(node, "svc.cluster_size", 1);
         awaitDiscoveryWatches(1);
-        registry.news.add(list(2, true));
+        registry.updates.add(list(2, true));
         awaitMetric(node, "svc.cluster_size", 0);
         assertEquals(200, post(node, "/admin/uncordon", "h0"));
         assertEquals(404, post(node, "/admin/uncordon", "h0"));
@@ -139,11 +139,11 @@
     @Test
     void theMetricsCountTheResultOfEachRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Server host = startHost((message, socket) -> {
-            if (message.start().contains("slow")) {
-                release.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((message, socket) -> {
+            if (message.startLine().contains("slow")) {
+                release.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
-            if (message.start().contains("/order/")) {
+            if (message.startLine().contains("/order/")) {
                 socket.close();
             } else {
                 echo(message, socket);
@@ -153,11 +153,11 @@
         assertEquals(200, sendRequest(node, "a"));
         assertEquals(200, sendRequest(node, "b"));
         assertEquals(502, connectClient(node).send(order("o", "body")).receive().status());
-        String tinyPlanRequest = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny")
+        String tinyPlanRequest = view("t", Sockets.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny")
                 .replace("b4d65521", "b4d65522");
         assertEquals(200, connectClient(node).send(tinyPlanRequest).receive().status());
         assertEquals(429, connectClient(node).send(tinyPlanRequest.replace("t?", "u?")).receive().status());
-        Client slow = connectClient(node).send(view("slow", Sockets.PATIENCE_MS));
+        Client slow = connectClient(node).send(view("slow", Sockets.TIMEOUT_MS));
         awaitMetric(node, "svc.current", 1);
         Map<String, Long> all = metrics(node);
         assertEquals(3, all.get("svc.answered.view"));
@@ -166,14 +166,14 @@
         assertEquals(1, all.get("svc.errored.order"));
         assertEquals(0, all.get("svc.answered.order"));
         // Accepting, sending and the host's recording are not simultaneous, so the recorded requests are read again each time.
-        Sockets.await(() -> host.asked.stream().anyMatch(message -> "slow".equals(message.header("X-Trace-Id"))),
+        Sockets.await(() -> host.requests.stream().anyMatch(message -> "slow".equals(message.header("X-Trace-Id"))),
                 "the host has received the request slow");
-        Sockets.await(() -> metrics(node).get("svc.sends") == host.asked.size(),
+        Sockets.await(() -> metrics(node).get("svc.sends") == host.requests.size(),
                 "svc.sends equals the number of requests that the host has received");
         release.countDown();
         assertEquals(200, slow.receive().status());
         awaitMetric(node, "svc.current", 0);
-        Client disconnecting = connectClient(node).send(view("slow2", Sockets.PATIENCE_MS));
+        Client disconnecting = connectClient(node).send(view("slow2", Sockets.TIMEOUT_MS));
         disconnecting.close();
         awaitMetric(node, "svc.current", 0);
     }
@@ -185,7 +185,7 @@
         CountDownLatch unblock = new CountDownLatch(1);
         node.loop.execute(() -> {
             try {
-                unblock.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                unblock.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -216,15 +216,15 @@
     @Test
     void quiesceClosesConnectionsWithoutLosingRequestsAndResumeServesAgain() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Server host = startHost((message, socket) -> {
-            if (message.start().contains("held")) {
-                release.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((message, socket) -> {
+            if (message.startLine().contains("held")) {
+                release.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(message, socket);
         });
         Node node = startNodeWithHosts(host);
-        Client busy = connectClient(node).send(view("held", Sockets.PATIENCE_MS));
-        Client used = connectClient(node).send(view("used", Sockets.PATIENCE_MS));
+        Client busy = connectClient(node).send(view("held", Sockets.TIMEOUT_MS));
+        Client used = connectClient(node).send(view("used", Sockets.TIMEOUT_MS));
         assertEquals(200, used.receive().status());
         Client silent = connectClient(node);
         assertNotNull(host.next());
@@ -235,7 +235,7 @@
         Message refused = connectClient(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive();
         assertEquals(503, refused.status());
         assertEquals("close", refused.header("Connection"));
-        Client late = connectClient(node).send(view("late", Sockets.PATIENCE_MS));
+        Client late = connectClient(node).send(view("late", Sockets.TIMEOUT_MS));
         assertEquals("close", late.receive().header("Connection"));
         assertNull(late.receive());
         assertNull(used.receive());
@@ -248,9 +248,9 @@
         assertEquals(200, post(node, "/admin/resume", ""));
         awaitCommands(node);
         assertEquals(200, call(node, "GET", "/admin/health", "").status());
-        Client again = connectClient(node).send(view("again", Sockets.PATIENCE_MS));
+        Client again = connectClient(node).send(view("again", Sockets.TIMEOUT_MS));
         assertNull(again.receive().header("Connection"));
-        assertEquals(200, again.send(view("again2", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, again.send(view("again2", Sockets.TIMEOUT_MS)).receive().status());
     }
 
     /** A resume does not cancel a shutdown. */
@@ -261,14 +261,14 @@
         assertEquals(200, post(node, "/admin/resume", ""));
         awaitCommands(node);
         assertEquals(503, call(node, "GET", "/admin/health", "").status());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(Sockets.TIMEOUT_MS));
     }
 
     /** A resume does not cancel a shutdown while connected clients are still served. */
     @Test
     void resumeDoesNotCancelADelayedShutdown() throws Exception {
         Node node = startNodeWithHosts(startHost(SocketTest::echo));
-        node.loop.submit(() -> node.drainAfter(Sockets.PATIENCE_MS)).sync();
+        node.loop.submit(() -> node.drainAfter(Sockets.TIMEOUT_MS)).sync();
         assertEquals(200, post(node, "/admin/resume", ""));
         awaitCommands(node);
         assertEquals(503, call(node, "GET", "/admin/health", "").status());
--- a/gateway/src/test/java/marlford/gateway/net/DescriptorExhaustionTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DescriptorExhaustionTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -109,12 +109,12 @@
     void aListIsFetchedDespiteManyIdleClientsOnceDiscoveryIsBack(int descriptors, int sockets) throws Exception {
         AtomicBoolean unavailable = new AtomicBoolean(true);
         AtomicInteger calls = new AtomicInteger();
-        try (Server agent = new Server((m, s) -> {
+        try (RecordingServer agent = new RecordingServer((m, s) -> {
             calls.incrementAndGet();
             if (unavailable.get()) {
                 s.setSoLinger(true, 0);
                 s.close();
-            } else if (!m.start().contains("from=")) {
+            } else if (!m.startLine().contains("from=")) {
                 s.getOutputStream().write(Sockets.ok(Sockets.list(1, true, Sockets.entry("h0", "127.0.0.1:1", "ready"))));
             }
         })) {
@@ -125,7 +125,7 @@
                 int before = calls.get();
                 Sockets.await(() -> calls.get() > before + CALLS_WHILE_UNAVAILABLE, "calls while the discovery agent is unavailable");
                 unavailable.set(false);
-                for (Message m = agent.next(); !m.start().contains("from=1&"); m = agent.next()) {
+                for (Message m = agent.next(); !m.startLine().contains("from=1&"); m = agent.next()) {
                     assertNotNull(m, "the host list was not accepted");
                 }
                 assertTrue(process.isAlive());
--- a/gateway/src/test/java/marlford/gateway/net/DisconnectedClientTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DisconnectedClientTest.java
@@ -29,9 +29,9 @@
 import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.EngineApi.Request;
 import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -98,11 +98,11 @@
         }
 
         void awaitHeld(String id) throws InterruptedException {
-            assertEquals(id, heldIds.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertEquals(id, heldIds.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
 
         Outcome awaitEnd() throws InterruptedException {
-            AttemptResult r = endedAttempts.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            AttemptResult r = endedAttempts.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertNotNull(r, "no attempt ended in time");
             return r.outcome();
         }
@@ -133,15 +133,15 @@
         }
     }
 
-    private final MovedClock clock = new MovedClock();
-    private Server host;
+    private final ManualClock clock = new ManualClock();
+    private RecordingServer host;
     private HoldingEngine engine;
     private Node node;
 
     @BeforeEach
     void startHost() throws IOException {
         host = startHost((m, s) -> {
-            if (m.start().contains("/breaks")) {
+            if (m.startLine().contains("/breaks")) {
                 s.close();
             } else {
                 echo(m, s);
@@ -150,7 +150,7 @@
     }
 
     private void startNode(Transport transport) throws IOException {
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
         String config = Sockets.config(registry.server.address(), "127.0.0.1:0");
         node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), actions -> engine = new HoldingEngine(actions), transport,
                 new NioEventLoopGroup(1), clock);
@@ -163,7 +163,7 @@
     }
 
     private void runInEventLoop(Callable<?> work) throws Exception {
-        node.loop.submit(work).get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        node.loop.submit(work).get(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     private static String requests(String name, int count) {
@@ -173,7 +173,7 @@
     /** Sends one more request: a host that has answered it has read whatever was sent before. */
     private void assertHostAskedOnly(String... ids) throws Exception {
         assertEquals(200, connectClient(node).send(view("now-last", CLIENT_TIME_MS)).receive().status());
-        List<String> asked = host.asked.stream().map(m -> m.header("X-Trace-Id")).filter(id -> !id.equals("now-last")).toList();
+        List<String> asked = host.requests.stream().map(m -> m.header("X-Trace-Id")).filter(id -> !id.equals("now-last")).toList();
         assertEquals(List.of(ids), asked);
     }
 
@@ -187,7 +187,7 @@
         runInEventLoop(() -> {
             c.send(view("now-v", CLIENT_TIME_MS));
             disconnect.apply(c);
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             return null;
         });
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway has noticed the disconnect");
@@ -206,7 +206,7 @@
         engine.awaitHeld("v");
         runInEventLoop(() -> {
             disconnect.apply(c);
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             engine.actions.send("v", "h0", 0);
             return null;
         });
@@ -228,7 +228,7 @@
         assertEquals(Outcome.RESET, engine.awaitEnd());
         runInEventLoop(() -> {
             disconnect.apply(c);
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             engine.actions.send("breaks", "h0", 0);
             return null;
         });
@@ -247,18 +247,18 @@
             engine.actions.send("v", "h0", 0);
             return null;
         });
-        ChannelPromise first = connections.establishedPromises.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        ChannelPromise first = connections.establishedPromises.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         runInEventLoop(() -> {
             disconnect.apply(c);
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             return first.setSuccess();
         });
         assertEquals(Outcome.CANCELLED, engine.awaitEnd());
         Client last = connectClient(node).send(view("now-last", CLIENT_TIME_MS));
-        ChannelPromise second = connections.establishedPromises.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        ChannelPromise second = connections.establishedPromises.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         runInEventLoop(second::setSuccess);
         assertEquals(200, last.receive().status());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     /** The client's FIN is behind pipelined requests; reading pauses beyond 16 of them, and stops beyond 256 KiB. */
@@ -270,7 +270,7 @@
         engine.awaitHeld("v0");
         runInEventLoop(() -> {
             c.close();
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             engine.actions.send("v0", "h0", 0);
             return null;
         });
@@ -287,7 +287,7 @@
         engine.awaitHeld("v0");
         runInEventLoop(() -> {
             c.close();
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             engine.actions.refuse("v0", 0);
             return null;
         });
@@ -303,7 +303,7 @@
         Client c = connectClient(node).send(requests("v", 1) + requests("now", count - 1));
         engine.awaitHeld("v0");
         runInEventLoop(() -> {
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             engine.actions.send("v0", "h0", 0);
             return null;
         });
@@ -320,7 +320,7 @@
     private void disconnectAsAnAttemptBegins(Client c) throws Exception {
         runInEventLoop(() -> {
             c.close();
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             engine.actions.send("v", "h0", 0);
             return null;
         });
@@ -366,7 +366,7 @@
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "the connection is accepted");
         runInEventLoop(() -> {
             c.send(requests("now", 40));
-            clock.move(CLOCK_ADVANCE_MS);
+            clock.advance(CLOCK_ADVANCE_MS);
             return null;
         });
         for (int i = 0; i < 40; i++) {
@@ -382,7 +382,7 @@
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "the connection is accepted");
         runInEventLoop(() -> {
             c.send(view("now-v", CLIENT_TIME_MS));
-            clock.move(CLIENT_TIME_MS / 10.0);
+            clock.advance(CLIENT_TIME_MS / 10.0);
             node.clientServer.closeIdleConnections();
             node.clientServer.closeIdleConnections();
             return null;
--- a/gateway/src/test/java/marlford/gateway/net/DiscoveryTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/DiscoveryTest.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import marlford.gateway.net.Sockets.Client;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -33,7 +33,7 @@
     private static final int PART_INTERVAL_MS = 40; // in total longer than the 200 ms without data that are allowed here
 
     /** Starts a node that uses a discovery agent. */
-    private Node startNodeWithAgent(Server agent) throws IOException {
+    private Node startNodeWithAgent(RecordingServer agent) throws IOException {
         return startNode(Sockets.config(agent.address(), "127.0.0.1:0"));
     }
 
@@ -50,21 +50,21 @@
     }
 
     /** Sends requests, which must all be answered by this host. */
-    private void assertServedBy(Node node, Server host, int times) throws IOException {
-        int before = host.asked.size();
+    private void assertServedBy(Node node, RecordingServer host, int times) throws IOException {
+        int before = host.requests.size();
         try (Client client = new Client(node)) {
             for (int i = 0; i < times; i++) {
-                assertEquals(200, client.send(view("d" + before + i, Sockets.PATIENCE_MS)).receive().status());
+                assertEquals(200, client.send(view("d" + before + i, Sockets.TIMEOUT_MS)).receive().status());
             }
         }
-        assertEquals(times, host.asked.size() - before);
+        assertEquals(times, host.requests.size() - before);
     }
 
     /** Waits for a call whose request line contains a text. */
-    private static void awaitCall(Server agent, String part) throws InterruptedException {
+    private static void awaitCall(RecordingServer agent, String part) throws InterruptedException {
         for (Sockets.Message message = agent.next(); ; message = agent.next()) {
             assertNotNull(message, "agent received no call with: " + part);
-            if (message.start().contains(part)) {
+            if (message.startLine().contains(part)) {
                 return;
             }
         }
@@ -72,9 +72,9 @@
 
     @Test
     void anAgentThatAcceptsButDoesNotRespondIsCalledAgain() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         AtomicInteger calls = new AtomicInteger();
-        Server agent = closeAfterTest(new Server((message, socket) -> {
+        RecordingServer agent = closeAfterTest(new RecordingServer((message, socket) -> {
             if (calls.incrementAndGet() == 2) {
                 socket.getOutputStream().write(ok(list(1, true, entry("h0", host.address(), "ready"))));
             }
@@ -86,13 +86,13 @@
 
     @Test
     void anAgentThatResetsConnectionsIsCalledUntilItResponds() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         AtomicInteger calls = new AtomicInteger();
-        Server agent = closeAfterTest(new Server((message, socket) -> {
+        RecordingServer agent = closeAfterTest(new RecordingServer((message, socket) -> {
             if (calls.incrementAndGet() < 6) {
                 socket.setSoLinger(true, 0);
                 socket.close();
-            } else if (!message.start().contains("from=")) {
+            } else if (!message.startLine().contains("from=")) {
                 socket.getOutputStream().write(ok(list(1, true, entry("h0", host.address(), "ready"))));
             }
         }));
@@ -109,11 +109,11 @@
     @ValueSource(booleans = {false, true})
     void theAgentIsCalledAgainAfterTheSharedFetchFails(boolean getsTurn) throws Exception {
         AtomicBoolean unavailable = new AtomicBoolean(true);
-        Server agent = closeAfterTest(new Server((message, socket) -> {
+        RecordingServer agent = closeAfterTest(new RecordingServer((message, socket) -> {
             if (unavailable.get()) {
                 socket.setSoLinger(true, 0);
                 socket.close();
-            } else if (!message.start().contains("from=")) {
+            } else if (!message.startLine().contains("from=")) {
                 socket.getOutputStream().write(ok(list(1, true)));
             }
         }));
@@ -148,14 +148,14 @@
     /** An outdated list must not undo a drain, but an agent that has restarted its versions is accepted in the end. */
     @Test
     void anOlderListOfTheSameAgentDoesNotReopenADrainingHost() throws Exception {
-        Server draining = startHost(SocketTest::echo);
-        Server ready = startHost(SocketTest::echo);
+        RecordingServer draining = startHost(SocketTest::echo);
+        RecordingServer ready = startHost(SocketTest::echo);
         AtomicInteger calls = new AtomicInteger();
-        Server agent = closeAfterTest(new Server((message, socket) -> {
+        RecordingServer agent = closeAfterTest(new RecordingServer((message, socket) -> {
             String h0 = entry("h0", draining.address(), calls.get() == 0 ? "draining" : "ready");
             if (calls.getAndIncrement() == 0) {
                 socket.getOutputStream().write(ok(list(9, true, h0, entry("h1", ready.address(), "ready"))));
-            } else if (!message.start().contains("from=2&")) {
+            } else if (!message.startLine().contains("from=2&")) {
                 socket.getOutputStream().write(ok(list(2, true, h0, entry("h1", ready.address(), "ready"))));
             }
         }));
@@ -163,7 +163,7 @@
         assertServedBy(node, ready, 5);
         awaitCall(agent, "from=2&"); // the list was accepted, except that the drain is kept
         assertServedBy(node, ready, 5);
-        assertEquals(0, draining.asked.size());
+        assertEquals(0, draining.requests.size());
     }
 
     /**
@@ -172,58 +172,58 @@
      */
     @Test
     void theOldWatchGoesOnUntilTheNewAgentResponds() throws Exception {
-        Server first = startHost(SocketTest::echo);
-        Server second = startHost(SocketTest::echo);
+        RecordingServer first = startHost(SocketTest::echo);
+        RecordingServer second = startHost(SocketTest::echo);
         Node node = startNodeWithHosts(first);
         awaitDiscoveryWatches(1);
-        Registry oldRegistry = registry;
-        Server silent = closeAfterTest(new Server((message, socket) -> { }));
+        DiscoveryAgent oldRegistry = registry;
+        RecordingServer silent = closeAfterTest(new RecordingServer((message, socket) -> { }));
         switchAgent(node, silent.address());
         assertNotNull(silent.next());
-        oldRegistry.news.add(list(2, false, entry("h0", first.address(), "draining"),
+        oldRegistry.updates.add(list(2, false, entry("h0", first.address(), "draining"),
                 entry("h1", second.address(), "ready")));
         awaitDiscoveryWatches(2);
         assertServedBy(node, second, 5);
-        assertEquals(0, first.asked.size());
-        Registry newRegistry = closeAfterTest(new Registry(list(1, true, entry("h0", first.address(), "ready"),
+        assertEquals(0, first.requests.size());
+        DiscoveryAgent newRegistry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", first.address(), "ready"),
                 entry("h1", second.address(), "ready"))));
         switchAgent(node, newRegistry.server.address());
         awaitCall(newRegistry.server, "from=1&");
-        oldRegistry.news.add(list(3, true, entry("h0", first.address(), "ready"))); // too late: the old agent is no longer watched
-        assertNotNull(oldRegistry.server.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        oldRegistry.updates.add(list(3, true, entry("h0", first.address(), "ready"))); // too late: the old agent is no longer watched
+        assertNotNull(oldRegistry.server.endedConnections.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertServedBy(node, second, 5); // the new agent's list does not undo the drain
-        assertEquals(0, first.asked.size());
+        assertEquals(0, first.requests.size());
     }
 
     /** The listener opens only with the agent's current list; a list from before the start is not used if the agent responds. */
     @Test
     void theListenerOpensWithTheCurrentList() throws Exception {
-        Server stale = startHost(SocketTest::echo);
-        Server current = startHost(SocketTest::echo);
-        registry = closeAfterTest(new Registry(list(4, true, entry("h1", current.address(), "ready"))));
+        RecordingServer stale = startHost(SocketTest::echo);
+        RecordingServer current = startHost(SocketTest::echo);
+        registry = closeAfterTest(new DiscoveryAgent(list(4, true, entry("h1", current.address(), "ready"))));
         String known = list(1, true, entry("h0", stale.address(), "ready"));
         Node node = startNode(configWithKnownList(registry.server.address(), known));
         assertServedBy(node, current, 3);
-        assertEquals(0, stale.asked.size());
+        assertEquals(0, stale.requests.size());
     }
 
     /** Without discovery, the gateway uses the list from before its start. */
     @Test
     void aStartWithoutDiscoveryUsesTheKnownList() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         String known = list(1, true, entry("h0", host.address(), "ready"));
         Node node = startNode(configWithKnownList("127.0.0.1:1", known));
         assertServedBy(node, host, 3);
-        assertFalse(host.asked.isEmpty());
+        assertFalse(host.requests.isEmpty());
     }
 
     /** A gateway without hosts would refuse all requests, so it reports unhealthy until it has a list. */
     @Test
     void aGatewayWithoutAListIsUnhealthy() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         AtomicBoolean unavailable = new AtomicBoolean(true);
-        Server agent = closeAfterTest(new Server((message, socket) -> {
-            if (!unavailable.get() && !message.start().contains("from=")) {
+        RecordingServer agent = closeAfterTest(new RecordingServer((message, socket) -> {
+            if (!unavailable.get() && !message.startLine().contains("from=")) {
                 socket.getOutputStream().write(ok(list(1, true, entry("h0", host.address(), "ready"))));
             }
         }));
@@ -238,9 +238,9 @@
     /** The response takes longer than the timeout, but parts keep arriving, each of which shows that the agent is alive. */
     @Test
     void aSlowResponseIsAwaitedWhilePartsArrive() throws Exception {
-        Server host = startHost(SocketTest::echo);
-        Server agent = closeAfterTest(new Server((message, socket) -> {
-            if (message.start().contains("from=")) {
+        RecordingServer host = startHost(SocketTest::echo);
+        RecordingServer agent = closeAfterTest(new RecordingServer((message, socket) -> {
+            if (message.startLine().contains("from=")) {
                 return;
             }
             byte[] whole = ok(list(1, true, entry("h0", host.address(), "ready")));
--- a/gateway/src/test/java/marlford/gateway/net/EventLogTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EventLogTest.java
@@ -12,7 +12,7 @@
 class EventLogTest {
     @Test
     void countsByReasonAndResetsTheCounts() {
-        EventLog log = new EventLog(MovedClock.standing(), null);
+        EventLog log = new EventLog(ManualClock.stopped(), null);
         log.closed(1, CloseReason.IDLE, null);
         log.closed(2, CloseReason.IDLE, null);
         log.closed(3, CloseReason.STALLED_REQUEST, null);
@@ -26,7 +26,7 @@
     @Test
     void tracedProcessWritesEachEventWithItsRequestId() {
         List<String> lines = new ArrayList<>();
-        EventLog log = new EventLog(MovedClock.standing(), lines::add);
+        EventLog log = new EventLog(ManualClock.stopped(), lines::add);
         log.requestReceived(7, "a");
         log.attemptEnded("a", 1, Outcome.RESET);
         log.closed(7, CloseReason.BY_CLIENT, "a");
--- a/gateway/src/test/java/marlford/gateway/net/EventOrderTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EventOrderTest.java
@@ -243,7 +243,7 @@
         private final List<Event> script;
         private final InjectedFault fault;
         private final String id = "m" + runCount++;
-        private final MovedClock clock = MovedClock.standing();
+        private final ManualClock clock = ManualClock.stopped();
         private final NioEventLoopGroup nodeGroup = new NioEventLoopGroup(1);
         private final Node node;
         private final Channel client;
@@ -367,7 +367,7 @@
                     }
                 }).sync();
                 case DEADLINE -> {
-                    clock.move(CLIENT_TIME_MS);
+                    clock.advance(CLIENT_TIME_MS);
                     nodeGroup.submit(() -> node.onDeadline(id)).sync();
                 }
                 case CLIENT_DISCONNECTS -> {
@@ -376,7 +376,7 @@
                     clientGone = true; // requests sent before the gateway could see the disconnect are allowed
                 }
                 case HOST_DRAINS -> drain(a == null ? 0 : a.host);
-                case GRACE_EXPIRES -> clock.move(DRAIN_GRACE_MS + 1);
+                case GRACE_EXPIRES -> clock.advance(DRAIN_GRACE_MS + 1);
                 case ANSWERS_ARE_LAST -> nodeGroup.submit(node::releaseClients).sync();
                 case ABANDON_ALL -> {
                     nodeGroup.submit(node::endAllRequests).sync();
--- a/gateway/src/test/java/marlford/gateway/net/ForbiddenRetryTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ForbiddenRetryTest.java
@@ -12,8 +12,8 @@
 import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.EngineApi.Request;
 import marlford.gateway.guard.Rule;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 
 /** A retry that breaks a rule is not sent, whatever the decision engine requests. */
@@ -46,18 +46,18 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsZone() throws Exception {
-        Server resettingHost = startHost((m, s) -> s.close());
-        Server otherZoneHost = startHost(SocketTest::echo);
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", resettingHost.address(), "ready"),
+        RecordingServer resettingHost = startHost((m, s) -> s.close());
+        RecordingServer otherZoneHost = startHost(SocketTest::echo);
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", resettingHost.address(), "ready"),
                 entry("h1", otherZoneHost.address(), "ready").replace("\"zone\":\"a\"", "\"zone\":\"b\""))));
         AtomicReference<Outcome> secondOutcome = new AtomicReference<>();
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"),
+        Node node = Sockets.startNode(Sockets.config(registry.server.address(), "127.0.0.1:0"),
                 actions -> new RuleBreakingEngine(actions, secondOutcome));
         resources.push(node::stop);
         assertEquals(502, connectClient(node).send(order("o", "body")).receive().status());
         Sockets.await(() -> secondOutcome.get() != null, "the engine is notified");
         assertEquals(Outcome.MOOT, secondOutcome.get());
-        assertEquals(List.of(), otherZoneHost.asked);
+        assertEquals(List.of(), otherZoneHost.requests);
         assertEquals(1, node.loop.submit(() -> node.ruleCounter.count(Rule.REPEATED_ELSEWHERE)).get());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
@@ -94,7 +94,7 @@
     }
 
     private void awaitLog(String expected) throws Exception {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.TIMEOUT_MS);
         while (!Files.readString(dir.resolve("log")).contains(expected)) {
             assertTrue(process.isAlive() && System.nanoTime() < deadline, "missing log text: " + expected);
             Thread.sleep(20);
@@ -102,7 +102,7 @@
     }
 
     private void awaitReady() throws Exception {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.TIMEOUT_MS);
         while (!isReady()) {
             assertTrue(process.isAlive() && System.nanoTime() < deadline, "health check did not succeed in time");
             Thread.sleep(20);
@@ -111,7 +111,7 @@
 
     private boolean isReady() {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.setSoTimeout(Sockets.PATIENCE_MS);
+            s.setSoTimeout(Sockets.TIMEOUT_MS);
             s.getOutputStream().write(Sockets.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
             Message response = Sockets.read(s.getInputStream());
             return response != null && response.status() == 200;
@@ -146,7 +146,7 @@
     void sigtermShutsDownGracefully() throws Exception {
         startServing();
         process.destroy();
-        assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(0, process.exitValue());
     }
 
@@ -156,12 +156,12 @@
      */
     @Test
     void sigtermDuringTheStartExitsWithoutServing() throws Exception {
-        try (Sockets.Server agent = new Sockets.Server((m, s) -> { })) {
+        try (Sockets.RecordingServer agent = new Sockets.RecordingServer((m, s) -> { })) {
             choosePort();
             start(config(agent.address()));
             assertNotNull(agent.next());
             process.destroy();
-            assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertFalse(Files.readString(dir.resolve("log")).contains("serves after"));
         }
     }
@@ -177,7 +177,7 @@
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
             process.destroy();
             awaitLog("drained: keeps quota ledgers");
-            assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         }
     }
@@ -188,19 +188,19 @@
      */
     @Test
     void sighupReloadsDiscoveryAndSigtermStillEndsTheProcess() throws Exception {
-        try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
-                Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
+        try (Sockets.DiscoveryAgent first = new Sockets.DiscoveryAgent(Sockets.list(7, true));
+                Sockets.DiscoveryAgent second = new Sockets.DiscoveryAgent(Sockets.list(3, true))) {
             startServing();
-            for (Sockets.Registry next : List.of(first, second, first)) {
+            for (Sockets.DiscoveryAgent next : List.of(first, second, first)) {
                 reloadWith("{\"name\": \"n0\"}");
                 awaitLog("the settings stay as they were");
                 assertTrue(isReady());
                 reloadWith(config(next.server.address()));
-                assertEquals("GET /v1/servers HTTP/1.1", next.server.next().start());
-                assertTrue(next.server.next().start().contains(next == first ? "from=7&" : "from=3&"));
+                assertEquals("GET /v1/servers HTTP/1.1", next.server.next().startLine());
+                assertTrue(next.server.next().startLine().contains(next == first ? "from=7&" : "from=3&"));
             }
             process.destroy();
-            assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         }
     }
@@ -211,7 +211,7 @@
      */
     @Test
     void aProcessStartedWithSighupIgnoredStillFollowsItsFile() throws Exception {
-        try (Sockets.Registry next = new Sockets.Registry(Sockets.list(7, true))) {
+        try (Sockets.DiscoveryAgent next = new Sockets.DiscoveryAgent(Sockets.list(7, true))) {
             choosePort();
             start(config("127.0.0.1:1"), "trap '' HUP; ");
             awaitReady();
@@ -243,14 +243,14 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 150, 400, 800})
     void aFileReplacedDuringTheStartIsUsed(int afterMs) throws Exception {
-        try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
-                Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
+        try (Sockets.DiscoveryAgent first = new Sockets.DiscoveryAgent(Sockets.list(7, true));
+                Sockets.DiscoveryAgent second = new Sockets.DiscoveryAgent(Sockets.list(3, true))) {
             choosePort();
             start(config(first.server.address()));
             Thread.sleep(afterMs); // no event is awaited: any moment of the start will do
             replaceFile(config(second.server.address()));
             assertNotNull(second.server.next());
-            assertTrue(second.server.next().start().contains("from=3&"));
+            assertTrue(second.server.next().startLine().contains("from=3&"));
             awaitReady();
         }
     }
@@ -258,8 +258,8 @@
     /** A truncated file, a missing file, and two files within a second are each followed without a further signal. */
     @Test
     void aTruncatedOrMissingFileIsReadAgain() throws Exception {
-        try (Sockets.Registry first = new Sockets.Registry(Sockets.list(7, true));
-                Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true))) {
+        try (Sockets.DiscoveryAgent first = new Sockets.DiscoveryAgent(Sockets.list(7, true));
+                Sockets.DiscoveryAgent second = new Sockets.DiscoveryAgent(Sockets.list(3, true))) {
             startServing();
             String whole = config(first.server.address());
             reloadWith(whole.substring(0, whole.length() / 2));
@@ -279,27 +279,27 @@
     void aDrainingProcessFollowsItsFile() throws Exception {
         CountDownLatch requestReceived = new CountDownLatch(1);
         CountDownLatch releaseResponse = new CountDownLatch(1);
-        try (Sockets.Server host = new Sockets.Server((m, s) -> {
+        try (Sockets.RecordingServer host = new Sockets.RecordingServer((m, s) -> {
                 requestReceived.countDown();
-                releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                releaseResponse.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 s.getOutputStream().write(Sockets.ok("late"));
             });
-                Sockets.Registry first = new Sockets.Registry(
+                Sockets.DiscoveryAgent first = new Sockets.DiscoveryAgent(
                         Sockets.list(7, true, Sockets.entry("h0", host.address(), "ready")));
-                Sockets.Registry second = new Sockets.Registry(Sockets.list(3, true));
+                Sockets.DiscoveryAgent second = new Sockets.DiscoveryAgent(Sockets.list(3, true));
                 Socket client = new Socket()) {
             choosePort();
             start(config(first.server.address()));
             awaitReady();
             client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            client.getOutputStream().write(Sockets.bytes(Sockets.view("v", Sockets.PATIENCE_MS)));
-            assertTrue(requestReceived.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            client.getOutputStream().write(Sockets.bytes(Sockets.view("v", Sockets.TIMEOUT_MS)));
+            assertTrue(requestReceived.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             process.destroy();
             replaceFile(config(second.server.address()));
             assertNotNull(second.server.next());
             releaseResponse.countDown();
             assertEquals("late", Sockets.read(client.getInputStream()).text());
-            assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -334,13 +334,13 @@
             awaitLog("the place is taken back");
             awaitReady();
             fresh = startSecondProcess("fresh");
-            long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+            long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.TIMEOUT_MS);
             while (Files.readString(dir.resolve("log")).split("the new process serves", -1).length < 3) {
                 assertTrue(System.nanoTime() < deadline && fresh.isAlive(), "the old process was not replaced");
                 Thread.sleep(20);
             }
             process.destroy();
-            assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
             assertTrue(isReady());
             assertTrue(fresh.isAlive());
@@ -362,13 +362,14 @@
         Files.writeString(dir.resolve("config.json"), config("127.0.0.1:1"));
         process = startSecondProcess("log");
         awaitReady();
-        try (Sockets.Server agent = new Sockets.Server((m, s) -> { })) { // the new process waits for the first discovery response
+        // the new process waits for the first discovery response
+        try (Sockets.RecordingServer agent = new Sockets.RecordingServer((m, s) -> { })) {
             Files.writeString(dir.resolve("new.json"), config(agent.address()));
             Process terminated = startSecondProcess("ended", "new.json");
             try {
                 assertNotNull(agent.next());
                 terminated.destroy();
-                assertTrue(terminated.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(terminated.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 awaitLog("did not come to serve, the place is taken back");
                 assertTrue(isReady());
                 assertFalse(Files.readString(dir.resolve("ended")).contains("serves after"));
@@ -413,7 +414,7 @@
         Files.writeString(dir.resolve("config.json"), config);
         Path tmp = Files.createDirectories(dir.resolve("tmp"));
         CountDownLatch replaced = new CountDownLatch(1);
-        Node predecessor = Sockets.node(config);
+        Node predecessor = Sockets.startNode(config);
         try (Successor successor = new Successor(RuntimeDirectory.ofEarlierVersion(tmp.toString(), "n0").successorSocket(),
                 predecessor.handoverSteps(() -> { }), line -> {
             if (line.equals("upgrade: the new process serves")) {
@@ -422,7 +423,7 @@
         })) {
             successor.open();
             process = startSecondProcess("log");
-            assertTrue(replaced.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(replaced.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } finally {
             predecessor.stop();
         }
@@ -435,7 +436,7 @@
     @Test
     void anInvalidConfigurationEndsTheProcessWithOneLine() throws Exception {
         start("{\"name\": \"n0\"}");
-        assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, process.exitValue());
         List<String> lines = Files.readAllLines(dir.resolve("log")).stream()
                 .filter(l -> !l.startsWith("deckfall: SIGHUP is ignored")).toList();
--- a/gateway/src/test/java/marlford/gateway/net/InvalidClientInputTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/InvalidClientInputTest.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -28,7 +28,7 @@
 
 /** Clients that send malformed input, or nothing: each gets an error or a close, and no host receives a request. */
 class InvalidClientInputTest extends SocketTest {
-    private static final String ORDER_HEAD = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", Sockets.PATIENCE_MS)
+    private static final String ORDER_HEAD = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", Sockets.TIMEOUT_MS)
             + "Idempotency-Key: k\r\n";
     private static final String HIDDEN_REQUEST = "GET /view/inner HTTP/1.1\r\n\r\n";
 
@@ -50,25 +50,25 @@
         "X-Trace-Id: other\r\nContent-Length: 0\r\n\r\n", "no colon here\r\nContent-Length: 0\r\n\r\n",
         "Content-Length : 3\r\n\r\nabc"})
     void aRequestOfAmbiguousLengthIsRejectedAndItsConnectionClosed(String headerEnd) throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Client c = connectClient(startNodeWithHosts(host)).send(ORDER_HEAD + headerEnd + HIDDEN_REQUEST);
         Message response = c.receive();
         assertEquals(400, response.status());
         assertEquals("close", response.header("Connection"));
         assertNull(c.receive());
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests);
     }
 
     /** A request that is safe to repeat is sent on without a length, so a host would read its body as another request. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 28\r\n\r\n" + HIDDEN_REQUEST, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"})
     void aGetWithABodyIsRejected(String headerEnd) throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Client c = connectClient(startNodeWithHosts(host));
-        String validRequest = view("v", Sockets.PATIENCE_MS);
+        String validRequest = view("v", Sockets.TIMEOUT_MS);
         assertEquals(400, c.send(validRequest.substring(0, validRequest.length() - 2) + headerEnd).receive().status());
         assertEquals(200, c.send(validRequest).receive().status());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     @ParameterizedTest
@@ -79,17 +79,17 @@
         "00000000b4|00000002b4", "In-Ms: 1000|In-Ms: 1e3", "In-Ms: 1000|In-Ms: -5", "In-Ms: 1000|In-Ms: 0",
         "In-Ms: 1000|In-Ms: 99999999999", "X-Trace-Id: v|X-Trace-Id: a b", "/view/|view/", "HTTP/1.1|HTTP/3.7"})
     void invalidRequestFieldsAreRejected(String good, String bad) throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         String validRequest = view("v", 1000);
         assertTrue(validRequest.contains(good));
         assertEquals(400, connectClient(startNodeWithHosts(host)).send(validRequest.replace(good, bad)).receive().status());
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests);
     }
 
     /** The class's limit bounds the time that is passed to the host, whatever the client claims. */
     @Test
     void theRequestTimeIsBoundedByItsClass() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         assertEquals(200, connectClient(startNodeWithHosts(host)).send(view("v", 999_999_999)).receive().status());
         assertTrue(Integer.parseInt(host.next().header("X-Expires-In-Ms")) <= 60_000);
     }
@@ -101,18 +101,18 @@
     @Test
     void aRequestWithAnOpenIdIsRejected() throws Exception {
         CountDownLatch releaseResponse = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
-            releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((m, s) -> {
+            releaseResponse.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = startNodeWithHosts(host);
-        Client first = connectClient(node).send(view("same", Sockets.PATIENCE_MS));
+        Client first = connectClient(node).send(view("same", Sockets.TIMEOUT_MS));
         assertNotNull(host.next());
-        assertEquals(400, connectClient(node).send(view("same", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(400, connectClient(node).send(view("same", Sockets.TIMEOUT_MS)).receive().status());
         releaseResponse.countDown();
         assertEquals("for same ", first.receive().text());
-        assertEquals(1, host.asked.size());
-        assertEquals("for same ", first.send(view("same", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals(1, host.requests.size());
+        assertEquals("for same ", first.send(view("same", Sockets.TIMEOUT_MS)).receive().text());
     }
 
     /** The refusal precedes any byte of the body, and waits for the answer that is still due on the connection. */
@@ -120,24 +120,24 @@
     @ValueSource(strings = {"Content-Length: 60000000\r\n\r\n", "Content-Length: 60000000\r\nExpect: 100-continue\r\n\r\n"})
     void aBodyThatIsTooLongIsRefusedInOrder(String headerEnd) throws Exception {
         CountDownLatch requestsSent = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
-            requestsSent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((m, s) -> {
+            requestsSent.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
-        Client c = connectClient(startNodeWithHosts(host)).send(view("v", Sockets.PATIENCE_MS) + ORDER_HEAD + headerEnd);
+        Client c = connectClient(startNodeWithHosts(host)).send(view("v", Sockets.TIMEOUT_MS) + ORDER_HEAD + headerEnd);
         assertNotNull(host.next());
         requestsSent.countDown();
         assertEquals("for v ", c.receive().text());
         assertEquals(413, c.receive().status());
         assertNull(c.receive());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     /** A part of the body has reached a host: both connections are closed, and the host has no complete request. */
     @Test
     void aChunkedBodyEndsItsConnectionOnceItIsTooLong() throws Exception {
         CountDownLatch bodyCutOff = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             try {
                 LongResponseTest.readChunks(s.getInputStream());
             } catch (IOException | RuntimeException e) {
@@ -151,8 +151,8 @@
                 c.send(chunk);
             }
         });
-        assertTrue(bodyCutOff.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        assertEquals(1, host.asked.size());
+        assertTrue(bodyCutOff.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(1, host.requests.size());
     }
 
     @Test
@@ -170,7 +170,7 @@
     void anUnfinishedRequestTimesOut(String input) throws Exception {
         Node node = startNodeWithHosts(startHost(SocketTest::echo));
         Client c = connectClient(node).send(input);
-        Client used = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client used = connectClient(node).send(view("v", Sockets.TIMEOUT_MS));
         assertEquals(200, used.receive().status());
         used.send(input);
         Message response = c.receive();
@@ -189,7 +189,7 @@
 
     /** A node that accepts 25 clients. */
     private Node startNodeWithFewSockets() throws IOException {
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
         return startNode(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 60"));
     }
@@ -201,14 +201,14 @@
         List<Client> activeClients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             activeClients.add(connectClient(node));
-            assertEquals(200, activeClients.get(i).send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, activeClients.get(i).send(view("r" + i, Sockets.TIMEOUT_MS)).receive().status());
         }
         List<Client> silentClients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             silentClients.add(connectClient(node));
         }
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, activeClients.get(i).send(view("s" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, activeClients.get(i).send(view("s" + i, Sockets.TIMEOUT_MS)).receive().status());
         }
         for (Client c : silentClients) {
             assertNull(receiveOrNull(c));
@@ -221,14 +221,14 @@
         Node node = startNodeWithFewSockets();
         Client activeClient = connectClient(node);
         for (int i = 0; i < 2; i++) {
-            assertEquals(200, activeClient.send(view("r" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, activeClient.send(view("r" + i, Sockets.TIMEOUT_MS)).receive().status());
         }
         for (int i = 0; i < 60; i++) {
             Client once = connectClient(node);
             assertEquals(200, once.send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
-            assertEquals(200, connectClient(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, connectClient(node).send(view("o" + i, Sockets.TIMEOUT_MS)).receive().status());
             if (i % 20 == 19) { // more connections than the limit were opened in between
-                assertEquals("for p" + i + " ", activeClient.send(view("p" + i, Sockets.PATIENCE_MS)).receive().text());
+                assertEquals("for p" + i + " ", activeClient.send(view("p" + i, Sockets.TIMEOUT_MS)).receive().text());
             }
         }
     }
@@ -238,16 +238,16 @@
     void newConnectionsAreServedAtTheConnectionLimit() throws Exception {
         Node node = startNodeWithFewSockets();
         for (int i = 0; i < 40; i++) {
-            assertEquals(200, connectClient(node).send(view("o" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, connectClient(node).send(view("o" + i, Sockets.TIMEOUT_MS)).receive().status());
         }
         List<Client> newClients = new ArrayList<>();
         for (int i = 0; i < 5; i++) { // fewer than a quarter of the 25 that fit
             newClients.add(connectClient(node));
         }
         // all connections have been accepted
-        assertEquals(200, connectClient(node).send(view("last", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, connectClient(node).send(view("last", Sockets.TIMEOUT_MS)).receive().status());
         for (int i = 0; i < newClients.size(); i++) {
-            assertEquals("for n" + i + " ", newClients.get(i).send(view("n" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for n" + i + " ", newClients.get(i).send(view("n" + i, Sockets.TIMEOUT_MS)).receive().text());
         }
     }
 
@@ -269,14 +269,14 @@
         for (int i = 0; i < 40; i++) {
             assertEquals(400, c.receive().status());
         }
-        c.send(view("v", Sockets.PATIENCE_MS));
+        c.send(view("v", Sockets.TIMEOUT_MS));
         assertEquals(200, c.receive().status());
         assertFalse(c.socket.isClosed());
     }
 
     @Test
     void aKeyedRequestKeepsItsBody() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Client c = connectClient(startNodeWithHosts(host));
         c.send(ORDER_HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
         assertEquals("for o abcde", c.receive().text());
--- a/gateway/src/test/java/marlford/gateway/net/InvalidHostResponseTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/InvalidHostResponseTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.net.Sockets.Client;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -37,7 +37,7 @@
         "HTTP/1.1 101 Go\r\n\r\nspam"})
     void anInvalidResponseFailsItsAttemptAtOnceAndClosesItsConnection(String invalidResponse) throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        Server host = startHost((message, socket) -> {
+        RecordingServer host = startHost((message, socket) -> {
             if (requests.incrementAndGet() > 1) {
                 echo(message, socket);
                 return;
@@ -46,16 +46,16 @@
         });
         Client client = connectClient(startNodeWithHosts(host));
         assertEquals("for o b", client.send(order("o", "b")).receive().text());
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(host.endedConnections.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(2, requests.get());
     }
 
     /** A keyed request with only invalid responses may have run, so it fails and is never refused (rule 2). */
     @Test
     void aRequestWithOnlyInvalidResponsesFails() throws Exception {
-        Server host = startHost((message, socket) -> socket.getOutputStream().write(bytes("HTTP/1.1 twohundred\r\n\r\n")));
+        RecordingServer host = startHost((message, socket) -> socket.getOutputStream().write(bytes("HTTP/1.1 twohundred\r\n\r\n")));
         assertEquals(502, connectClient(startNodeWithHosts(host)).send(order("o", "b")).receive().status());
-        assertEquals(3, host.asked.size());
+        assertEquals(3, host.requests.size());
     }
 
     /** Guards against pooling a connection with bytes behind its response, which the next client would receive. */
@@ -64,7 +64,7 @@
         "noise", "\r\n"})
     void bytesBehindAResponseReachNoClient(String extraBytes) throws Exception {
         Set<Socket> usedConnections = ConcurrentHashMap.newKeySet();
-        Server host = startHost((message, socket) -> {
+        RecordingServer host = startHost((message, socket) -> {
             assertTrue(usedConnections.add(socket), "connection with bytes behind its response was used again");
             String response = "for " + message.header("X-Trace-Id");
             socket.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n"
@@ -72,7 +72,7 @@
         });
         Client client = connectClient(startNodeWithHosts(host));
         for (int i = 0; i < 10; i++) {
-            assertEquals("for v" + i, client.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for v" + i, client.send(view("v" + i, Sockets.TIMEOUT_MS)).receive().text());
         }
         assertEquals(10, usedConnections.size());
     }
@@ -82,7 +82,7 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond", "HTTP/1.1 200 OK\r\nContent-"})
     void bytesOnAnIdleConnectionCloseIt(String unsolicited) throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        Server host = startHost((message, socket) -> {
+        RecordingServer host = startHost((message, socket) -> {
             echo(message, socket);
             if (requests.incrementAndGet() == 1) {
                 Thread.sleep(50); // the response is read by then, and the connection is idle in its pool
@@ -90,15 +90,15 @@
             }
         });
         Client client = connectClient(startNodeWithHosts(host));
-        assertEquals("for v ", client.send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        assertEquals("for w ", client.send(view("w", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for v ", client.send(view("v", Sockets.TIMEOUT_MS)).receive().text());
+        assertNotNull(host.endedConnections.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals("for w ", client.send(view("w", Sockets.TIMEOUT_MS)).receive().text());
     }
 
     /** A 1xx response is not the final one, and an invalid load report is ignored; neither costs an attempt. */
     @Test
     void interimResponsesAndInvalidLoadReportsCostNoAttempt() throws Exception {
-        Server host = startHost((message, socket) -> {
+        RecordingServer host = startHost((message, socket) -> {
             socket.getOutputStream().write(bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                     + "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT util=NaN,\u0001\u00ff=\r\n"
                     + "Content-Type: \u0001\r\nContent-Length: 3\r\n\r\n"));
@@ -108,19 +108,19 @@
         for (int i = 0; i < 3; i++) {
             assertEquals("abc", client.send(order("o" + i, "b")).receive().text());
         }
-        assertEquals(3, host.asked.size());
+        assertEquals(3, host.requests.size());
     }
 
     @Test
     void aResponseInSingleBytesIsDeliveredWhole() throws Exception {
-        Server host = startHost((message, socket) -> {
+        RecordingServer host = startHost((message, socket) -> {
             for (byte b : ok("for " + message.header("X-Trace-Id"))) {
                 socket.getOutputStream().write(b);
             }
         });
         Client client = connectClient(startNodeWithHosts(host));
         for (int i = 0; i < 3; i++) {
-            assertEquals("for v" + i, client.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for v" + i, client.send(view("v" + i, Sockets.TIMEOUT_MS)).receive().text());
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LocalConnectFailureTest.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.DecisionEngine;
 import marlford.gateway.net.Sockets.Client;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -92,7 +92,7 @@
     }
 
     private Node startNode(Failure failure, String... hosts) throws Exception {
-        registry = closeAfterTest(new Registry(list(1, true, hosts)));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, hosts)));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionEngine::new, new FailingTransport(failure), new NioEventLoopGroup(1));
         resources.push(node::stop);
@@ -103,14 +103,14 @@
     @ParameterizedTest
     @EnumSource(names = {"ENFILE", "EADDRNOTAVAIL", "ENOBUFS"})
     void aLocalFailureIsRetriedWithinTheAttempt(Failure failure) throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Node node = startNode(failure, entry("h0", host.address(), "ready"));
         try (Client client = new Client(node)) {
             failuresLeft.set(CONSECUTIVE_FAILURES);
-            assertEquals(200, client.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, client.send(view("a", Sockets.TIMEOUT_MS)).receive().status());
         }
         assertEquals(CONSECUTIVE_FAILURES, failedConnects.get());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
         assertEquals(0, node.loop.submit(() -> node.avoidedHostCount()).get());
     }
 
@@ -118,11 +118,11 @@
     @ParameterizedTest
     @EnumSource(names = {"ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT"})
     void aNetworkFailureIsEvidenceAgainstTheHost(Failure failure) throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Node node = startNode(failure, entry("h0", host.address(), "ready"), entry("h1", host.address(), "ready"));
         try (Client client = new Client(node)) {
             failuresLeft.set(1);
-            assertEquals(200, client.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, client.send(view("a", Sockets.TIMEOUT_MS)).receive().status());
         }
         assertEquals(1, failedConnects.get());
         assertEquals(1, node.loop.submit(() -> node.avoidedHostCount()).get());
@@ -131,14 +131,14 @@
     /** The failure outlasts the retries: the client gets an error, and the host is not avoided. */
     @Test
     void aLastingLocalFailureIsAnErrorButTheHostIsNotAvoided() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Node node = startNode(Failure.ENFILE, entry("h0", host.address(), "ready"));
         try (Client client = new Client(node)) {
             failuresLeft.set(Integer.MAX_VALUE);
-            assertTrue(client.send(view("a", Sockets.PATIENCE_MS)).receive().status() >= 400);
+            assertTrue(client.send(view("a", Sockets.TIMEOUT_MS)).receive().status() >= 400);
             assertEquals(0, node.loop.submit(() -> node.avoidedHostCount()).get());
             failuresLeft.set(0);
-            assertEquals(200, client.send(view("b", Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, client.send(view("b", Sockets.TIMEOUT_MS)).receive().status());
         }
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/LongListTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongHostListTest.java
@@ -15,13 +15,13 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Starts the program with its deployed heap settings and gives it lists of tens of thousands of hosts. */
-class LongListTest {
+class LongHostListTest {
     private static final String[] DEPLOYED_JVM_OPTIONS = {"-Xms24m", "-Xmx48m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
         "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=16m", "-XX:MaxDirectMemorySize=16m", "-Xss512k",
         "-Dio.netty.leakDetection.level=disabled"};
@@ -67,7 +67,7 @@
 
     private int healthStatus() {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.setSoTimeout(Sockets.PATIENCE_MS);
+            s.setSoTimeout(Sockets.TIMEOUT_MS);
             s.getOutputStream().write(Sockets.bytes("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"));
             Message response = Sockets.read(s.getInputStream());
             return response == null ? 0 : response.status();
@@ -102,11 +102,11 @@
      * Waits for a call whose start line contains a text, among the next calls; a slow machine may cause several
      * others.
      */
-    private void awaitCall(Server agent, String text) throws Exception {
+    private void awaitCall(RecordingServer agent, String text) throws Exception {
         for (int calls = 0; calls < MAX_CALLS; calls++) {
             Message m = agent.next();
             assertNotNull(m, "no further call to the discovery agent");
-            if (m.start().contains(text)) {
+            if (m.startLine().contains(text)) {
                 return;
             }
         }
@@ -120,7 +120,7 @@
     @Test
     void thirtyThousandHostsFitIntoTheDeployedHeap() throws Exception {
         AtomicInteger lists = new AtomicInteger();
-        try (Server agent = new Server((m, s) -> {
+        try (RecordingServer agent = new RecordingServer((m, s) -> {
             if (lists.get() < LIST_COUNT) { // each but the first arrives while the previous list is in memory
                 writeList(s.getOutputStream(), lists.incrementAndGet(), FITTING_HOSTS);
             }
@@ -137,8 +137,8 @@
     @Test
     void aListThatDoesNotFitIsLoggedOnceAndThePreviousListServes() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Server host = new Server(SocketTest::echo);
-                Server agent = new Server((m, s) -> {
+        try (RecordingServer host = new RecordingServer(SocketTest::echo);
+                RecordingServer agent = new RecordingServer((m, s) -> {
                     if (calls.getAndIncrement() == 0) {
                         writeList(s.getOutputStream(), 1, 1, Sockets.entry("h0", host.address(), "ready"));
                     } else {
@@ -148,11 +148,11 @@
             start(agent.address());
             awaitCall(agent, "from=1&");
             for (int i = 0; i < 2; i++) {
-                assertEquals("GET /v1/servers HTTP/1.1", agent.next().start());
+                assertEquals("GET /v1/servers HTTP/1.1", agent.next().startLine());
             }
             Sockets.await(() -> healthStatus() == 200, "healthy with a host list");
             try (Sockets.Client c = new Sockets.Client(new Socket(InetAddress.getLoopbackAddress(), port))) {
-                assertEquals(200, c.send(Sockets.view("l", Sockets.PATIENCE_MS)).receive().status());
+                assertEquals(200, c.send(Sockets.view("l", Sockets.TIMEOUT_MS)).receive().status());
             }
             assertEquals(1, countLogLines("the list names more than"), Files.readString(log()));
         }
@@ -161,7 +161,7 @@
     /** Without any host list the health check fails for as long as a start may take. */
     @Test
     void aStartWithAListThatDoesNotFitIsUnhealthyAtFirst() throws Exception {
-        try (Server agent = new Server((m, s) -> writeList(s.getOutputStream(), 1, TOO_MANY_HOSTS))) {
+        try (RecordingServer agent = new RecordingServer((m, s) -> writeList(s.getOutputStream(), 1, TOO_MANY_HOSTS))) {
             start(agent.address());
             for (int calls = 0; calls < 3; calls++) {
                 assertNotNull(agent.next());
--- a/gateway/src/test/java/marlford/gateway/net/LongRequestBodyTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongRequestBodyTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 
 /** Request bodies that are too long to buffer: each is streamed to one host, once, as fast as that host reads it. */
@@ -41,7 +41,7 @@
     }
 
     private static String head(String id, String framing) {
-        return "POST /order/x HTTP/1.1\r\nHost: h\r\n" + Sockets.headers(id, Sockets.PATIENCE_MS)
+        return "POST /order/x HTTP/1.1\r\nHost: h\r\n" + Sockets.headers(id, Sockets.TIMEOUT_MS)
                 + "Idempotency-Key: key-" + id + "\r\n" + framing + "\r\n\r\n";
     }
 
@@ -51,26 +51,26 @@
     }
 
     private static void assertConnectionUsable(Client c) throws IOException {
-        assertEquals("for next ", c.send(view("next", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for next ", c.send(view("next", Sockets.TIMEOUT_MS)).receive().text());
     }
 
     @Test
     void aLongBodyPassesWholeAndItsConnectionsStayOpen() throws Exception {
         byte[] body = content(LONG_BYTES);
-        Server host = startHost((m, s) -> s.getOutputStream().write(m.body().length == 0 ? ok("for next ") : ok("done")));
+        RecordingServer host = startHost((m, s) -> s.getOutputStream().write(m.body().length == 0 ? ok("for next ") : ok("done")));
         Client c = connectClient(startNodeWithHosts(host));
         sendOrder(c, "o", body);
         assertEquals("done", c.receive().text());
         assertArrayEquals(body, host.next().body());
         assertConnectionUsable(c);
-        assertTrue(host.ended.isEmpty());
+        assertTrue(host.endedConnections.isEmpty());
     }
 
     @Test
     void aBodyOfUnknownLengthPassesWhole() throws Exception {
         byte[] body = content(LONG_BYTES);
         CompletableFuture<byte[]> received = new CompletableFuture<>();
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             if ("chunked".equals(m.header("Transfer-Encoding"))) {
                 received.complete(LongResponseTest.readChunks(s.getInputStream()));
                 s.getOutputStream().write(ok("done"));
@@ -88,7 +88,7 @@
         }
         out.write(bytes("0\r\nTrailer: t\r\n\r\n"));
         assertEquals("done", c.receive().text());
-        assertArrayEquals(body, received.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertArrayEquals(body, received.get(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertConnectionUsable(c);
     }
 
@@ -100,7 +100,7 @@
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread host = new Thread(() -> {
                 try (Socket s = slow.accept()) {
-                    hostMayRead.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                    hostMayRead.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                     Message m = Sockets.read(s.getInputStream());
                     s.getOutputStream().write(ok("done"));
                     bodyLength.complete(m.body().length);
@@ -129,7 +129,7 @@
             assertTrue(steadyBytes < VERY_LONG_BYTES - PART_BYTES, "bytes sent by the client: " + steadyBytes);
             hostMayRead.countDown();
             assertEquals("done", c.receive().text());
-            assertEquals(VERY_LONG_BYTES, bodyLength.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertEquals(VERY_LONG_BYTES, bodyLength.get(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -137,7 +137,7 @@
     @Test
     void aHostThatRefusesConnectionsLosesNoLongBody() throws Exception {
         byte[] body = content(LONG_BYTES);
-        Server host = startHost((m, s) -> s.getOutputStream().write(ok("done")));
+        RecordingServer host = startHost((m, s) -> s.getOutputStream().write(ok("done")));
         Node node = startNodeWithEntries(entry("dead", REFUSING_ADDRESS, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 6; i++) {
             Client c = connectClient(node);
@@ -173,7 +173,7 @@
             Client c = connectClient(startNodeWithEntries(entry("h", "127.0.0.1:" + breaking.getLocalPort(), "ready")));
             c.send(head("o", "Content-Length: " + LONG_BYTES));
             c.socket.getOutputStream().write(new byte[LONG_BYTES / 2]);
-            assertTrue(brokenOff.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(brokenOff.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             c.socket.getOutputStream().write(new byte[LONG_BYTES / 2]);
             Message response = c.receive();
             assertEquals(429, response.status());
@@ -185,12 +185,12 @@
     /** The request may have run: the client gets no refusal, and no host receives the order again. */
     @Test
     void aHostThatClosesAfterTheLastByteCausesAFailure() throws Exception {
-        Server host = startHost((m, s) -> s.close());
-        Server other = startHost((m, s) -> s.close());
+        RecordingServer host = startHost((m, s) -> s.close());
+        RecordingServer other = startHost((m, s) -> s.close());
         Client c = connectClient(startNodeWithHosts(host, other));
         sendOrder(c, "o", content(LONG_BYTES));
         assertEquals(502, c.receive().status());
-        assertEquals(1, host.asked.size() + other.asked.size());
+        assertEquals(1, host.requests.size() + other.requests.size());
     }
 
     @Test
@@ -210,7 +210,7 @@
             c.send(head("o", "Content-Length: " + LONG_BYTES));
             c.socket.getOutputStream().write(new byte[LONG_BYTES / 2]);
             c.close();
-            assertTrue(received.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS) < LONG_BYTES);
+            assertTrue(received.get(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS) < LONG_BYTES);
         }
     }
 
@@ -218,7 +218,7 @@
     @Test
     void malformedChunksEndTheConnection() throws Exception {
         CompletableFuture<Integer> received = new CompletableFuture<>();
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             try {
                 received.complete(LongResponseTest.readChunks(s.getInputStream()).length);
             } catch (IOException | RuntimeException e) {
@@ -231,7 +231,7 @@
         c.send("\r\n");
         assertNotNull(host.next());
         c.send("zz\r\n");
-        assertEquals(-1, received.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(-1, received.get(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /**
@@ -240,7 +240,7 @@
      */
     @Test
     void aLongBodyBeyondTheQuotaIsRefusedAndItsConnectionStaysOpen() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Client c = connectClient(startNodeWithHosts(host));
         for (int i = 0; i < 3; i++) {
             c.send(head("o" + i, "Content-Length: " + LONG_BYTES).replace("X-Plan: free", "X-Plan: tiny")
@@ -249,19 +249,19 @@
             assertEquals(429, c.receive().status());
         }
         assertConnectionUsable(c);
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     @Test
     void aLongBodyWhereNoneIsAllowedIsRejectedAndItsConnectionStaysOpen() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Client c = connectClient(startNodeWithHosts(host));
-        String get = view("v", Sockets.PATIENCE_MS);
+        String get = view("v", Sockets.TIMEOUT_MS);
         c.send(get.substring(0, get.length() - 2) + "Content-Length: " + LONG_BYTES + "\r\n\r\n");
         c.socket.getOutputStream().write(new byte[LONG_BYTES]);
         assertEquals(400, c.receive().status());
         assertConnectionUsable(c);
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     // too long to buffer whole, yet read completely while the request waits
@@ -271,12 +271,12 @@
     @Test
     void aWaitingLongBodyIsReleasedWhenItsClientDisconnects() throws Exception {
         CountDownLatch clientGone = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
-            clientGone.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((m, s) -> {
+            clientGone.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = startNodeWithHosts(host);
-        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client c = connectClient(node).send(view("v", Sockets.TIMEOUT_MS));
         assertNotNull(host.next());
         sendOrder(c, "o", content(WAITING_BODY_BYTES));
         c.close();
@@ -289,12 +289,12 @@
     @Test
     void aWaitingLongBodyIsReleasedWhenItsRequestIsRefused() throws Exception {
         CountDownLatch bodyRead = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
-            bodyRead.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((m, s) -> {
+            bodyRead.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = startNodeWithHosts(host);
-        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client c = connectClient(node).send(view("v", Sockets.TIMEOUT_MS));
         assertNotNull(host.next());
         c.send(head("o", "Content-Length: " + WAITING_BODY_BYTES)
                 .replace("X-Plan: free", "X-Plan: tiny").replace("b4d65521", "b4d65522").replace("units=1", "units=4"));
@@ -306,6 +306,6 @@
         assertEquals("for v ", c.receive().text());
         assertEquals(429, c.receive().status());
         assertConnectionUsable(c);
-        assertEquals(2, host.asked.size());
+        assertEquals(2, host.requests.size());
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/LongResponseTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/LongResponseTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 
 /** Responses that are too long to buffer, and slow clients and hosts. */
@@ -30,7 +30,7 @@
     private static final int VERY_LONG_BYTES = 32 << 20;
     private static final int PART_BYTES = 1 << 16;
     private static final String NEXT_REQUEST = "GET /view/next HTTP/1.1\r\nHost: h\r\n"
-            + Sockets.headers("next", Sockets.PATIENCE_MS) + "\r\n";
+            + Sockets.headers("next", Sockets.TIMEOUT_MS) + "\r\n";
 
     private static byte[] content(int length) {
         byte[] content = new byte[length];
@@ -45,11 +45,11 @@
     }
 
     /** Passes the first request to the handler and echoes all later ones. */
-    private static Sockets.Answer firstThenEcho(Sockets.Answer firstHandler) {
+    private static Sockets.RequestHandler firstThenEcho(Sockets.RequestHandler firstHandler) {
         AtomicInteger requests = new AtomicInteger();
         return (m, s) -> {
             if (requests.getAndIncrement() == 0) {
-                firstHandler.to(m, s);
+                firstHandler.handle(m, s);
             } else {
                 echo(m, s);
             }
@@ -92,22 +92,22 @@
     @Test
     void aLongResponsePassesWholeAndItsConnectionsStayOpen() throws Exception {
         byte[] content = content(LONG_BYTES);
-        Server host = startHost(firstThenEcho((m, s) -> {
+        RecordingServer host = startHost(firstThenEcho((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + LONG_BYTES));
             s.getOutputStream().write(content);
         }));
         Client c = connectClient(startNodeWithHosts(host));
-        Message response = c.send(view("long", Sockets.PATIENCE_MS)).receive();
+        Message response = c.send(view("long", Sockets.TIMEOUT_MS)).receive();
         assertEquals("image/png", response.header("Content-Type"));
         assertArrayEquals(content, response.body());
         assertEquals("for next ", c.send(NEXT_REQUEST).receive().text());
-        assertTrue(host.ended.isEmpty());
+        assertTrue(host.endedConnections.isEmpty());
     }
 
     @Test
     void aResponseOfUnknownLengthPassesWhole() throws Exception {
         byte[] content = content(LONG_BYTES);
-        Server host = startHost(firstThenEcho((m, s) -> {
+        RecordingServer host = startHost(firstThenEcho((m, s) -> {
             OutputStream out = s.getOutputStream();
             out.write(head("Transfer-Encoding: chunked"));
             for (int at = 0; at < LONG_BYTES; at += 10_000) {
@@ -118,7 +118,7 @@
             }
             out.write(bytes("0\r\n\r\n"));
         }));
-        Client c = connectClient(startNodeWithHosts(host)).send(view("long", Sockets.PATIENCE_MS));
+        Client c = connectClient(startNodeWithHosts(host)).send(view("long", Sockets.TIMEOUT_MS));
         InputStream in = c.socket.getInputStream();
         assertEquals("HTTP/1.1 200 OK", readLine(in));
         String framing = "";
@@ -135,14 +135,14 @@
     void aResponseIsReadOnlyAsFastAsItsClientReads() throws Exception {
         AtomicLong writtenBytes = new AtomicLong();
         byte[] part = content(PART_BYTES);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + VERY_LONG_BYTES));
             for (int at = 0; at < VERY_LONG_BYTES; at += PART_BYTES) {
                 s.getOutputStream().write(part);
                 writtenBytes.addAndGet(PART_BYTES);
             }
         });
-        Client c = connectClient(startNodeWithHosts(host)).send(view("long", Sockets.PATIENCE_MS));
+        Client c = connectClient(startNodeWithHosts(host)).send(view("long", Sockets.TIMEOUT_MS));
         assertNotNull(host.next());
         long steadyBytes = awaitSteady(writtenBytes); // until flow control blocks the host
         assertTrue(steadyBytes < VERY_LONG_BYTES - PART_BYTES, "bytes written by the host: " + steadyBytes);
@@ -156,13 +156,13 @@
     /** The client must be able to tell that the response is incomplete; nothing may follow on that connection. */
     @Test
     void aTruncatedResponseClosesTheClientConnection() throws Exception {
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + LONG_BYTES));
             s.getOutputStream().write(new byte[LONG_BYTES / 2]);
             s.close();
         });
         Node node = startNodeWithHosts(host);
-        Client c = connectClient(node).send(view("long", Sockets.PATIENCE_MS) + NEXT_REQUEST);
+        Client c = connectClient(node).send(view("long", Sockets.TIMEOUT_MS) + NEXT_REQUEST);
         InputStream in = c.socket.getInputStream();
         long receivedBytes = 0;
         try {
@@ -175,23 +175,23 @@
         assertTrue(receivedBytes < LONG_BYTES, "bytes received: " + receivedBytes);
         awaitOpenRequests(node, 0);
         assertTrue(node.metrics.text().contains("svc.errored.view=1\n"), node.metrics.text());
-        assertEquals(1, host.asked.size()); // a response that has begun is not requested again
+        assertEquals(1, host.requests.size()); // a response that has begun is not requested again
     }
 
     @Test
     void aClientThatDisconnectsEndsTheResponseAtTheHost() throws Exception {
         CountDownLatch responseBegun = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + VERY_LONG_BYTES));
             s.getOutputStream().write(new byte[LONG_BYTES / 8]);
             responseBegun.countDown();
         });
         Node node = startNodeWithHosts(host);
-        Client c = connectClient(node).send(view("long", Sockets.PATIENCE_MS));
-        assertTrue(responseBegun.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        Client c = connectClient(node).send(view("long", Sockets.TIMEOUT_MS));
+        assertTrue(responseBegun.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals('H', c.socket.getInputStream().read());
         c.close();
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(host.endedConnections.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         awaitOpenRequests(node, 0);
     }
 
@@ -200,14 +200,14 @@
     void aLongResponseMayOutlastTheClientsTime() throws Exception {
         byte[] content = content(LONG_BYTES);
         CountDownLatch deadlinePassed = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             s.getOutputStream().write(head("Content-Length: " + LONG_BYTES));
             s.getOutputStream().write(content, 0, LONG_BYTES / 2);
-            deadlinePassed.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            deadlinePassed.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(content, LONG_BYTES / 2, LONG_BYTES / 2);
         });
         Node node = startNodeWithHosts(host);
-        InputStream in = connectClient(node).send(view("long", Sockets.PATIENCE_MS)).socket.getInputStream();
+        InputStream in = connectClient(node).send(view("long", Sockets.TIMEOUT_MS)).socket.getInputStream();
         byte[] first = {(byte) in.read()}; // the client has received the first byte
         node.loop.submit(() -> node.onDeadline("long")).sync();
         deadlinePassed.countDown();
@@ -217,29 +217,29 @@
     /** Only a successful response is streamed; a long error response is an error, and another attempt follows. */
     @Test
     void aLongErrorResponseIsRetried() throws Exception {
-        Server host = startHost(firstThenEcho((m, s) -> {
+        RecordingServer host = startHost(firstThenEcho((m, s) -> {
             s.getOutputStream().write(bytes("HTTP/1.1 500 Oops\r\nContent-Length: " + LONG_BYTES + "\r\n\r\n"));
             s.getOutputStream().write(new byte[LONG_BYTES]);
         }));
-        assertEquals("for v ", connectClient(startNodeWithHosts(host)).send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        assertEquals(2, host.asked.size());
+        assertEquals("for v ", connectClient(startNodeWithHosts(host)).send(view("v", Sockets.TIMEOUT_MS)).receive().text());
+        assertEquals(2, host.requests.size());
     }
 
     /** The clock advances on the event loop, so never between a read and the check of its time. */
     @Test
     void aResponseInSlowPiecesIsServed() throws Exception {
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         AtomicReference<Node> gateway = new AtomicReference<>();
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             for (byte b : bytes("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc")) {
                 s.getOutputStream().write(b);
-                gateway.get().loop.submit(() -> clock.move(10)).sync(); // in total far longer than a single pause may be
+                gateway.get().loop.submit(() -> clock.advance(10)).sync(); // in total far longer than a single pause may be
             }
         });
         Node node = startNodeWithHosts(host, clock);
         gateway.set(node);
-        assertEquals("abc", connectClient(node).send(view("v", Sockets.PATIENCE_MS)).receive().text());
-        assertEquals(1, host.asked.size());
+        assertEquals("abc", connectClient(node).send(view("v", Sockets.TIMEOUT_MS)).receive().text());
+        assertEquals(1, host.requests.size());
     }
 
     /**
@@ -249,13 +249,13 @@
     @Test
     void aConnectionOnWhichARequestArrivesIsNotIdle() throws Exception {
         Node node = startNodeWithHosts(startHost(SocketTest::echo));
-        Client c = connectClient(node).send(view("first", Sockets.PATIENCE_MS));
+        Client c = connectClient(node).send(view("first", Sockets.TIMEOUT_MS));
         assertEquals("for first ", c.receive().text());
         c.send(NEXT_REQUEST.substring(0, 30));
         node.loop.submit(node::drain).sync();
         assertTrue(!node.awaitDrained(700)); // idle connections are closed within this time
         assertEquals("for next ", c.send(NEXT_REQUEST.substring(30)).receive().text());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(Sockets.TIMEOUT_MS));
     }
 
     @Test
--- a/gateway/src/test/java/marlford/gateway/net/MovedClock.java
+++ b/gateway/src/test/java/marlford/gateway/net/ManualClock.java
@@ -1,22 +1,22 @@
 package marlford.gateway.net;
 
 /** A clock that a test advances: either in addition to real time, or by the test alone. */
-final class MovedClock extends Clock {
+final class ManualClock extends Clock {
     private final boolean isManual;
     private final double startMs = super.now();
     private volatile double offsetMs;
 
-    MovedClock() {
+    ManualClock() {
         this(false);
     }
 
-    private MovedClock(boolean isManual) {
+    private ManualClock(boolean isManual) {
         this.isManual = isManual;
     }
 
-    /** A clock that advances only when {@link #move} is called. */
-    static MovedClock standing() {
-        return new MovedClock(true);
+    /** A clock that advances only when {@link #advance} is called. */
+    static ManualClock stopped() {
+        return new ManualClock(true);
     }
 
     @Override
@@ -25,7 +25,7 @@
     }
 
     /** Advances the clock by this number of milliseconds. */
-    void move(double ms) {
+    void advance(double ms) {
         offsetMs += ms;
     }
 }
--- a/gateway/src/test/java/marlford/gateway/net/NodeStartTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/NodeStartTest.java
@@ -9,7 +9,7 @@
 
 import java.io.IOException;
 import java.util.stream.IntStream;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import marlford.gateway.start.StartBudget;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -30,11 +30,11 @@
             if (this == NEVER_ACCEPTS) {
                 return test.closeAfterTest(new BlockedHost()).address();
             }
-            return test.closeAfterTest(new Server((m, s) -> {
+            return test.closeAfterTest(new RecordingServer((m, s) -> {
                 switch (this) {
                     case REJECTS -> s.getOutputStream().write(bytes("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"));
                     case HUGE_LIST -> {
-                        if (!m.start().contains("from=")) {
+                        if (!m.startLine().contains("from=")) {
                             s.getOutputStream().write(ok(hugeList()));
                         }
                     }
@@ -60,7 +60,7 @@
     private Node startNode(Agent agent, String known, long ageMs) throws Exception {
         String silentPeers = Sockets.config(agent.address(this), "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:2")
                 .replace("\"servers\": []", "\"servers\": [" + known + "]");
-        Node node = Sockets.unstarted(silentPeers);
+        Node node = Sockets.createNode(silentPeers);
         resources.push(node::stop);
         assertTrue(node.start(null, new StartBudget(() -> ageMs)));
         return node;
--- a/gateway/src/test/java/marlford/gateway/net/NodeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/NodeTest.java
@@ -31,9 +31,9 @@
 import marlford.gateway.EngineApi.Events;
 import marlford.gateway.EngineApi.Request;
 import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -48,7 +48,7 @@
         for (int i = 0; i < body.length; i++) {
             body[i] = (byte) (i * 31);
         }
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
             s.getOutputStream().write(body);
         });
@@ -57,37 +57,37 @@
         assertEquals(200, response.status());
         assertArrayEquals(body, response.body());
         Message sent = host.next();
-        assertEquals("POST /order/x HTTP/1.1", sent.start());
+        assertEquals("POST /order/x HTTP/1.1", sent.startLine());
         assertEquals("id-1", sent.header("X-Trace-Id"));
         assertEquals("key-id-1", sent.header("Idempotency-Key"));
         assertEquals("two copies", sent.text());
-        assertTrue(Integer.parseInt(sent.header("X-Expires-In-Ms")) <= Sockets.PATIENCE_MS);
-        assertEquals(200, c.send(view("id-2", Sockets.PATIENCE_MS)).receive().status());
-        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.next().start());
+        assertTrue(Integer.parseInt(sent.header("X-Expires-In-Ms")) <= Sockets.TIMEOUT_MS);
+        assertEquals(200, c.send(view("id-2", Sockets.TIMEOUT_MS)).receive().status());
+        assertEquals("GET /view/id-2?z=3 HTTP/1.1", host.next().startLine());
     }
 
     @Test
     void aHostThatRefusesConnectionsLosesNoRequest() throws Exception {
-        Server host = startHost(NodeTest::echo);
+        RecordingServer host = startHost(NodeTest::echo);
         Node node = startNodeWithEntries(entry("dead", REFUSING_ADDRESS, "ready"), entry("live", host.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             assertEquals("for o" + i + " b", connectClient(node).send(order("o" + i, "b")).receive().text());
         }
-        assertEquals(10, host.asked.size());
+        assertEquals(10, host.requests.size());
     }
 
     /** The request may have run, so the client must not be told that a retry is safe (rule 2). */
     @Test
     void aKeyedRequestWhoseConnectionsBreakFailsAndIsNotRefused() throws Exception {
-        Server host = startHost((m, s) -> s.close());
+        RecordingServer host = startHost((m, s) -> s.close());
         int status = connectClient(startNodeWithHosts(host)).send(order("o", "b")).receive().status();
         assertEquals(502, status);
-        assertEquals(3, host.asked.size());
+        assertEquals(3, host.requests.size());
     }
 
     @Test
     void aRequestThatNeverRanIsRefusedWithRetryAfter() throws Exception {
-        Server host = startHost((m, s) -> s.getOutputStream()
+        RecordingServer host = startHost((m, s) -> s.getOutputStream()
                 .write(bytes("HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")));
         Message response = connectClient(startNodeWithHosts(host)).send(order("o", "b")).receive();
         assertEquals(429, response.status());
@@ -96,34 +96,34 @@
 
     @Test
     void excessIsRefusedAtOnceWithRetryAfter() throws Exception {
-        Server host = startHost(NodeTest::echo);
+        RecordingServer host = startHost(NodeTest::echo);
         Client c = connectClient(startNodeWithHosts(host));
-        String tiny = view("t", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny");
+        String tiny = view("t", Sockets.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         Message response = c.send(tiny).receive();
         assertEquals(429, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     /** A second plan claimed by the same customer once created a new ledger, with a full token bucket. */
     @Test
     void claimingAnotherPlanRefillsNoBucket() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Client c = connectClient(startNodeWithHosts(host));
-        String free = view("t", Sockets.PATIENCE_MS);
+        String free = view("t", Sockets.TIMEOUT_MS);
         String tiny = free.replace("X-Plan: free", "X-Plan: tiny");
         assertEquals(200, c.send(tiny).receive().status());
         for (String again : List.of(tiny, free, tiny)) {
             assertEquals(429, c.send(again).receive().status());
         }
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     @Test
     void aTruncatedResponseIsNeverServed() throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             if (requests.incrementAndGet() > 1) {
                 echo(m, s);
                 return;
@@ -131,18 +131,18 @@
             s.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"));
             s.close();
         });
-        assertEquals("for v ", connectClient(startNodeWithHosts(host)).send(view("v", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for v ", connectClient(startNodeWithHosts(host)).send(view("v", Sockets.TIMEOUT_MS)).receive().text());
         assertEquals(2, requests.get());
     }
 
     @Test
     void anAttemptIsCancelledWhenItsClientDisconnects() throws Exception {
-        Server host = startHost((m, s) -> { });
+        RecordingServer host = startHost((m, s) -> { });
         Client c = connectClient(startNodeWithHosts(host));
-        c.send(view("v", Sockets.PATIENCE_MS));
+        c.send(view("v", Sockets.TIMEOUT_MS));
         assertNotNull(host.next());
         c.close();
-        assertNotNull(host.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(host.endedConnections.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /**
@@ -152,9 +152,9 @@
     @Test
     void aLateResponseReachesNoOtherRequest() throws Exception {
         CountDownLatch deadlinePassed = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").equals("slow")) {
-                deadlinePassed.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                deadlinePassed.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
@@ -162,13 +162,13 @@
         assertNotEquals(200, c.send(view("slow", 300)).receive().status());
         deadlinePassed.countDown();
         for (int i = 0; i < 5; i++) {
-            assertEquals("for v" + i + " ", c.send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for v" + i + " ", c.send(view("v" + i, Sockets.TIMEOUT_MS)).receive().text());
         }
     }
 
     @Test
     void malformedRequestsAreRejectedAndReachNoHost() throws Exception {
-        Server host = startHost(NodeTest::echo);
+        RecordingServer host = startHost(NodeTest::echo);
         Node node = startNodeWithHosts(host);
         String good = view("v", 1000);
         for (String bad : List.of(good.replace("X-Plan: free\r\n", ""), good.replace("X-Plan: free", "X-Plan: none"),
@@ -183,7 +183,7 @@
         assertEquals(413, connectClient(node).send("POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("o", 1000)
                 + "Idempotency-Key: k\r\nContent-Length: 60000000\r\n\r\n").receive().status());
         assertEquals(200, connectClient(node).send("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").receive().status());
-        assertEquals(List.of(), host.asked);
+        assertEquals(List.of(), host.requests);
     }
 
     @Test
@@ -191,7 +191,7 @@
         Client c = connectClient(startNodeWithHosts(startHost(NodeTest::echo)));
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
-            all.append(view("p" + i, Sockets.PATIENCE_MS));
+            all.append(view("p" + i, Sockets.TIMEOUT_MS));
         }
         c.send(all.toString());
         for (int i = 0; i < 40; i++) {
@@ -201,41 +201,41 @@
 
     @Test
     void aDrainingHostGetsNoNewRequestAndAMovedHostIsFollowed() throws Exception {
-        Server old = startHost(NodeTest::echo);
-        Server fresh = startHost(NodeTest::echo);
+        RecordingServer old = startHost(NodeTest::echo);
+        RecordingServer fresh = startHost(NodeTest::echo);
         Node node = startNodeWithHosts(old);
         Client c = connectClient(node);
-        assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, c.send(view("a", Sockets.TIMEOUT_MS)).receive().status());
         awaitDiscoveryWatches(1);
-        registry.news.add(list(2, false, entry("h0", old.address(), "draining"),
+        registry.updates.add(list(2, false, entry("h0", old.address(), "draining"),
                 entry("h1", REFUSING_ADDRESS, "ready")));
-        registry.news.add(list(3, false, entry("h1", fresh.address(), "ready")));
+        registry.updates.add(list(3, false, entry("h1", fresh.address(), "ready")));
         awaitDiscoveryWatches(3);
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, c.send(view("b" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, c.send(view("b" + i, Sockets.TIMEOUT_MS)).receive().status());
         }
-        assertEquals(1, old.asked.size());
-        assertEquals(5, fresh.asked.size());
+        assertEquals(1, old.requests.size());
+        assertEquals(5, fresh.requests.size());
     }
 
     @Test
     void aFullListRemovesUnlistedHosts() throws Exception {
-        Server old = startHost(NodeTest::echo);
-        Server fresh = startHost(NodeTest::echo);
+        RecordingServer old = startHost(NodeTest::echo);
+        RecordingServer fresh = startHost(NodeTest::echo);
         Node node = startNodeWithHosts(old);
         awaitDiscoveryWatches(1);
-        registry.news.add(list(9, true, entry("h1", fresh.address(), "ready")));
+        registry.updates.add(list(9, true, entry("h1", fresh.address(), "ready")));
         awaitDiscoveryWatches(2);
-        assertEquals(200, connectClient(node).send(view("a", Sockets.PATIENCE_MS)).receive().status());
-        assertEquals(0, old.asked.size());
+        assertEquals(200, connectClient(node).send(view("a", Sockets.TIMEOUT_MS)).receive().status());
+        assertEquals(0, old.requests.size());
     }
 
     /** The first calls of a watch that breaks repeatedly; each later call continues from the version held. */
     @Test
     void aBrokenWatchContinuesFromItsVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Server broken = closeAfterTest(new Server((m, s) -> {
-            if (!m.start().contains("from=")) {
+        RecordingServer broken = closeAfterTest(new RecordingServer((m, s) -> {
+            if (!m.startLine().contains("from=")) {
                 s.getOutputStream().write(ok(list(7, true)));
             } else if (calls.incrementAndGet() < 4) {
                 s.close();
@@ -243,7 +243,7 @@
         }));
         startNode(Sockets.config(broken.address(), "127.0.0.1:0"));
         for (int i = 0; i < 5; i++) {
-            String call = broken.next().start();
+            String call = broken.next().startLine();
             assertEquals(i > 0, call.contains("from=7&"), call);
         }
     }
@@ -251,43 +251,43 @@
     /** One malformed entry once caused the whole list to be rejected, and again on each further call. */
     @Test
     void aMalformedEntryAffectsOnlyItsOwnHost() throws Exception {
-        Server known = startHost(NodeTest::echo);
-        Server fresh = startHost(NodeTest::echo);
+        RecordingServer known = startHost(NodeTest::echo);
+        RecordingServer fresh = startHost(NodeTest::echo);
         Node node = startNodeWithHosts(known);
         awaitDiscoveryWatches(1);
-        registry.news.add(list(2, false, entry("h0", known.address(), "resting"), entry("h7", "nowhere", "ready"),
+        registry.updates.add(list(2, false, entry("h0", known.address(), "resting"), entry("h7", "nowhere", "ready"),
                 "{}", entry("h1", fresh.address(), "ready")));
         awaitDiscoveryWatches(2);
         Client c = connectClient(node);
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, c.send(view("a" + i, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, c.send(view("a" + i, Sockets.TIMEOUT_MS)).receive().status());
         }
-        assertEquals(0, known.asked.size()); // its state is unknown, so it gets no new requests
-        assertEquals(5, fresh.asked.size());
+        assertEquals(0, known.requests.size()); // its state is unknown, so it gets no new requests
+        assertEquals(5, fresh.requests.size());
     }
 
     /** The previous agent may have a response on its way, whose hosts date from before the move. */
     @Test
     void aResponseOfThePreviousAgentIsIgnored() throws Exception {
-        Server gone = startHost(NodeTest::echo);
-        Server fresh = startHost(NodeTest::echo);
+        RecordingServer gone = startHost(NodeTest::echo);
+        RecordingServer fresh = startHost(NodeTest::echo);
         CountDownLatch agentChanged = new CountDownLatch(1);
-        Server previous = closeAfterTest(new Server((m, s) -> {
-            agentChanged.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer previous = closeAfterTest(new RecordingServer((m, s) -> {
+            agentChanged.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(ok(list(900, true, entry("h0", gone.address(), "ready"))));
         }));
         Node node = startNode(Sockets.config(previous.address(), "127.0.0.1:0"));
         assertNotNull(previous.next());
-        registry = closeAfterTest(new Registry(list(1, true, entry("h1", fresh.address(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h1", fresh.address(), "ready"))));
         node.reload(NodeConfig.of(new com.fasterxml.jackson.databind.ObjectMapper()
                 .readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))));
         awaitDiscoveryWatches(1);
         agentChanged.countDown();
-        assertNotNull(previous.ended.poll(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(previous.endedConnections.poll(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         for (int i = 0; i < 5; i++) {
-            assertEquals("for v" + i + " ", connectClient(node).send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for v" + i + " ", connectClient(node).send(view("v" + i, Sockets.TIMEOUT_MS)).receive().text());
         }
-        assertEquals(5, fresh.asked.size());
+        assertEquals(5, fresh.requests.size());
     }
 
     private static int freePort() throws IOException {
@@ -302,8 +302,8 @@
                 DatagramSocket unknownSender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String ownAddress = "127.0.0.1:" + port;
-            Server host = startHost(NodeTest::echo);
-            registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+            RecordingServer host = startHost(NodeTest::echo);
+            registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
             Node node = startNode(Sockets.config(registry.server.address(), ownAddress, ownAddress,
                     "127.0.0.1:" + peer.getLocalPort()));
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -314,11 +314,11 @@
             }
             // Several customers, since the node itself holds the ledger of some of them.
             for (int i = 0; i < 8; i++) {
-                String shared = view("s" + i, Sockets.PATIENCE_MS).replace("spread=1", "spread=2")
+                String shared = view("s" + i, Sockets.TIMEOUT_MS).replace("spread=1", "spread=2")
                         .replace("b4d65521", "b4d6552" + i);
                 assertEquals(200, connectClient(node).send(shared).receive().status());
             }
-            peer.setSoTimeout(Sockets.PATIENCE_MS);
+            peer.setSoTimeout(Sockets.TIMEOUT_MS);
             DatagramPacket received = new DatagramPacket(new byte[1000], 1000);
             peer.receive(received);
             assertTrue(received.getLength() > 0 && received.getLength() <= 256);
@@ -331,16 +331,16 @@
      */
     @Test
     void aRequestReadTooLateByABusyEventLoopIsRefusedAtOnce() throws Exception {
-        Server host = startHost(NodeTest::echo);
+        RecordingServer host = startHost(NodeTest::echo);
         Node node = startNodeWithHosts(host);
         Client client = connectClient(node);
-        assertEquals(200, client.send(view("r1", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, client.send(view("r1", Sockets.TIMEOUT_MS)).receive().status());
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch sent = new CountDownLatch(1);
         node.loop.execute(() -> {
             busy.countDown();
             try {
-                sent.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                sent.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 double end = node.clock.now() + 1500;
                 while (node.clock.now() < end) {
                     Thread.sleep(1);
@@ -349,14 +349,14 @@
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(busy.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(busy.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         client.send(view("r2", 2000));
         sent.countDown();
         Message response = client.receive();
         assertEquals(429, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
-        assertEquals(1, host.asked.size());
-        assertEquals(200, client.send(view("r3", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(1, host.requests.size());
+        assertEquals(200, client.send(view("r3", Sockets.TIMEOUT_MS)).receive().status());
     }
 
     /** A longer absence from a fleet that serves costs more than a slow start; an idle fleet can wait. */
@@ -366,14 +366,14 @@
                 DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port = freePort();
             String ownAddress = "127.0.0.1:" + port;
-            registry = closeAfterTest(new Registry(list(1, true)));
+            registry = closeAfterTest(new DiscoveryAgent(list(1, true)));
             Node node = startNode(Sockets.config(registry.server.address(), ownAddress, ownAddress,
                     "127.0.0.1:" + peer.getLocalPort()));
             InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             unknownSender.send(new DatagramPacket(new byte[8], 8, to));
             assertFalse(node.hasHeardFromPeers());
             peer.send(new DatagramPacket(new byte[8], 8, to));
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.TIMEOUT_MS);
             while (!node.hasHeardFromPeers()) {
                 assertTrue(System.nanoTime() < end, "no message from the peer was received");
                 Thread.sleep(5);
@@ -384,16 +384,16 @@
     @Test
     void requestsOpenAtADrainAreAnsweredAndTheirConnectionsClosed() throws Exception {
         CountDownLatch draining = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
-            draining.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((m, s) -> {
+            draining.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = startNodeWithHosts(host);
-        Client busy = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client busy = connectClient(node).send(view("v", Sockets.TIMEOUT_MS));
         Client idle = connectClient(node);
         assertNotNull(host.next());
         node.loop.submit(node::drain).sync();
-        Client late = connectClient(node).send(view("w", Sockets.PATIENCE_MS)); // new connections are accepted for some time
+        Client late = connectClient(node).send(view("w", Sockets.TIMEOUT_MS)); // new connections are accepted for some time
         draining.countDown();
         for (Client c : List.of(busy, late)) {
             Message response = c.receive();
@@ -402,22 +402,22 @@
             assertNull(c.receive());
         }
         assertNull(idle.receive());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(Sockets.TIMEOUT_MS));
     }
 
     /** No replacement has started yet: connected clients are served, and only the health check reports the shutdown. */
     @Test
     void aDelayedDrainServesConnectedClients() throws Exception {
         Node node = startNodeWithHosts(startHost(SocketTest::echo));
-        Client regular = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client regular = connectClient(node).send(view("v", Sockets.TIMEOUT_MS));
         assertEquals(200, regular.receive().status());
-        node.loop.submit(() -> node.drainAfter(Sockets.PATIENCE_MS)).sync();
+        node.loop.submit(() -> node.drainAfter(Sockets.TIMEOUT_MS)).sync();
         assertEquals(503, connectClient(node).send("GET /healthz HTTP/1.1\r\n\r\n").receive().status());
-        Message response = regular.send(view("w", Sockets.PATIENCE_MS)).receive();
+        Message response = regular.send(view("w", Sockets.TIMEOUT_MS)).receive();
         assertEquals(200, response.status());
         assertNull(response.header("Connection"));
         node.loop.submit(node::releaseClients).sync();
-        Client last = regular.send(view("x", Sockets.PATIENCE_MS));
+        Client last = regular.send(view("x", Sockets.TIMEOUT_MS));
         assertEquals("close", last.receive().header("Connection"));
         assertNull(last.receive());
     }
@@ -425,31 +425,31 @@
     /** No request may be open when the process is killed: what still runs by then is failed or refused before. */
     @Test
     void aDrainFailsRequestsThatAHostNeverAnswers() throws Exception {
-        Server host = startHost((m, s) -> { });
+        RecordingServer host = startHost((m, s) -> { });
         Node node = startNodeWithHosts(host);
         Client c = connectClient(node).send(order("o", "b"));
         assertNotNull(host.next());
         node.loop.submit(node::drain).sync();
         assertEquals(502, c.receive().status());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(Sockets.TIMEOUT_MS));
     }
 
     /** Effects come from the settings alone, even where two nodes of one process have classes of the same name. */
     @Test
     void settingsAreNotSharedBetweenNodes() throws Exception {
-        Server host = startHost((m, s) -> s.close());
+        RecordingServer host = startHost((m, s) -> s.close());
         Node repeating = startNodeWithHosts(host);
         String once = Sockets.config(registry.server.address(), "127.0.0.1:0").replace("repeatable", "once");
         Node unrepeating = startNode(once);
-        String unsafe = view("u", Sockets.PATIENCE_MS).replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n");
+        String unsafe = view("u", Sockets.TIMEOUT_MS).replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n");
         for (int i = 1; i <= 3; i++) {
-            assertEquals(429, connectClient(repeating).send(view("v" + i, Sockets.PATIENCE_MS)).receive().status());
-            assertEquals(4 * i - 1, host.asked.size(), "three attempts of a repeatable request");
+            assertEquals(429, connectClient(repeating).send(view("v" + i, Sockets.TIMEOUT_MS)).receive().status());
+            assertEquals(4 * i - 1, host.requests.size(), "three attempts of a repeatable request");
             assertEquals(502, connectClient(unrepeating).send(unsafe.replace("/u?", "/u" + i + "?")).receive().status());
-            assertEquals(4 * i, host.asked.size(), "one attempt of a request that must not be repeated");
+            assertEquals(4 * i, host.requests.size(), "one attempt of a request that must not be repeated");
         }
         assertEquals(400, connectClient(repeating).send(unsafe).receive().status());
-        assertEquals(400, connectClient(unrepeating).send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(400, connectClient(unrepeating).send(view("v", Sockets.TIMEOUT_MS)).receive().status());
     }
 
     /** A decision engine that handles requests as a test says and ignores all else. */
@@ -461,8 +461,8 @@
     }
 
     private Node startNodeWithEngine(Function<Actions, Events> engineFactory) throws IOException {
-        registry = closeAfterTest(new Registry(list(1, true)));
-        Node node = Sockets.node(Sockets.config(registry.server.address(), "127.0.0.1:0"), engineFactory);
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true)));
+        Node node = Sockets.startNode(Sockets.config(registry.server.address(), "127.0.0.1:0"), engineFactory);
         resources.push(node::stop);
         return node;
     }
@@ -492,29 +492,29 @@
             actions.refuse(r.id(), 100);
         }));
         Client c = connectClient(node);
-        assertEquals(502, c.send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(502, c.send(view("v", Sockets.TIMEOUT_MS)).receive().status());
         assertEquals(429, c.send(order("o", "b")).receive().status());
-        assertEquals(502, c.send(view("w", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(502, c.send(view("w", Sockets.TIMEOUT_MS)).receive().status());
     }
 
     /** Idle clients must not exhaust the descriptors, and a busy client must not be disconnected for them. */
     @Test
     void idleConnectionsAreEvictedBeforeDescriptorsRunOut() throws Exception {
         CountDownLatch manyClientsServed = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
-                manyClientsServed.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                manyClientsServed.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
         Node node = startNode(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"sockets\": 1024", "\"sockets\": 20"));
-        Client held = connectClient(node).send(view("held", Sockets.PATIENCE_MS));
+        Client held = connectClient(node).send(view("held", Sockets.TIMEOUT_MS));
         assertNotNull(host.next());
         Client idle = connectClient(node);
         for (int i = 0; i < 30; i++) {
-            assertEquals("for v" + i + " ", connectClient(node).send(view("v" + i, Sockets.PATIENCE_MS)).receive().text());
+            assertEquals("for v" + i + " ", connectClient(node).send(view("v" + i, Sockets.TIMEOUT_MS)).receive().text());
         }
         assertNull(idle.receive());
         manyClientsServed.countDown();
--- a/gateway/src/test/java/marlford/gateway/net/QueuedRequestDeadlineTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/QueuedRequestDeadlineTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import marlford.gateway.net.Sockets.Client;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -25,20 +25,20 @@
     @Test
     void aPipelinedRequestIsSentWithItsRemainingTime() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").equals("held")) {
-                released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                released.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(host, clock);
         Client c = connectClient(node).send(view("held", CLIENT_TIME_MS) + view("waits", CLIENT_TIME_MS));
         assertNotNull(host.next());
         for (int i = 0; i < 2; i++) {
             node.loop.submit(() -> { }).get();
         }
-        clock.move(WAIT_MS);
+        clock.advance(WAIT_MS);
         // otherwise the clock step looks like a stalled event loop
         node.loop.schedule(() -> { }, LOOP_TICK_WAIT_MS, TimeUnit.MILLISECONDS).get();
         released.countDown();
@@ -51,8 +51,8 @@
     /** Connections that arrive faster than they are accepted wait in the queue, and their requests with them. */
     @Test
     void aRequestInTheAcceptQueueIsSentWithItsRemainingTime() throws Exception {
-        Server host = startHost(SocketTest::echo);
-        MovedClock clock = MovedClock.standing();
+        RecordingServer host = startHost(SocketTest::echo);
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(host, clock);
         node.loop.submit(node.clientServer::pauseAccepting).get();
         for (int i = 0; i < QUEUED_CONNECTIONS; i++) {
@@ -60,7 +60,7 @@
         }
         Client last = connectClient(node).send(view("waits", CLIENT_TIME_MS));
         node.loop.submit(() -> Transport.readNow(node.clientServer.listener())).get(); // accepts a part of the waiting connections
-        clock.move(WAIT_MS);
+        clock.advance(WAIT_MS);
         node.loop.schedule(() -> { }, LOOP_TICK_WAIT_MS, TimeUnit.MILLISECONDS).get(); // so that the event loop does not appear stalled
         node.loop.submit(() -> Transport.readNow(node.clientServer.listener())).get();
         assertEquals("for waits ", last.receive().text());
--- a/gateway/src/test/java/marlford/gateway/net/SocketTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/SocketTest.java
@@ -24,9 +24,9 @@
 import marlford.gateway.EngineApi.Actions;
 import marlford.gateway.EngineApi.Events;
 import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
@@ -52,7 +52,7 @@
     };
 
     final Deque<Closeable> resources = new ArrayDeque<>();
-    Registry registry;
+    DiscoveryAgent registry;
 
     @BeforeAll
     static void recordLeakReports() {
@@ -84,8 +84,8 @@
     }
 
     /** Starts a host with scripted responses. */
-    Server startHost(Sockets.Answer answer) throws IOException {
-        return closeAfterTest(new Server(answer));
+    RecordingServer startHost(Sockets.RequestHandler answer) throws IOException {
+        return closeAfterTest(new RecordingServer(answer));
     }
 
     /** Responds with the request's trace id and body. */
@@ -95,19 +95,19 @@
 
     /** Starts a node whose discovery lists these entries. */
     Node startNodeWithEntries(String... entries) throws IOException {
-        registry = closeAfterTest(new Registry(list(1, true, entries)));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entries)));
         return startNode(Sockets.config(registry.server.address(), "127.0.0.1:0"));
     }
 
     /** Starts a node with this configuration. */
     Node startNode(String config) throws IOException {
-        Node node = Sockets.node(config);
+        Node node = Sockets.startNode(config);
         resources.push(node::stop);
         return node;
     }
 
     /** Starts a node with this configuration and a test clock. */
-    Node startNodeWithClock(String config, MovedClock clock) throws IOException {
+    Node startNodeWithClock(String config, ManualClock clock) throws IOException {
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(config)), DecisionEngine::new, Transport.TCP,
                 new NioEventLoopGroup(1), clock);
         resources.push(node::stop);
@@ -116,25 +116,25 @@
     }
 
     /** Starts a node with one host and a test clock. */
-    Node startNodeWithHosts(Server host, MovedClock clock) throws IOException {
+    Node startNodeWithHosts(RecordingServer host, ManualClock clock) throws IOException {
         return startNodeWithClock(configFor(host), clock);
     }
 
     /** Starts a node with one host and a test decision engine. */
-    Node startNodeWithHosts(Server host, Function<Actions, Events> engine) throws IOException {
-        Node node = Sockets.node(configFor(host), engine);
+    Node startNodeWithHosts(RecordingServer host, Function<Actions, Events> engine) throws IOException {
+        Node node = Sockets.startNode(configFor(host), engine);
         resources.push(node::stop);
         return node;
     }
 
     /** Returns a configuration whose discovery lists one host. */
-    private String configFor(Server host) throws IOException {
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+    private String configFor(RecordingServer host) throws IOException {
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
         return Sockets.config(registry.server.address(), "127.0.0.1:0");
     }
 
     /** Starts a node with these hosts, with the ids h0, h1 and so on. */
-    Node startNodeWithHosts(Server... hosts) throws IOException {
+    Node startNodeWithHosts(RecordingServer... hosts) throws IOException {
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = entry("h" + i, hosts[i].address(), "ready");
@@ -149,8 +149,8 @@
 
     /** Waits until discovery has received this many watches for changes. */
     void awaitDiscoveryWatches(int count) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-        while (registry.server.asked.stream().filter(message -> message.start().contains("from=")).count() < count) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.TIMEOUT_MS);
+        while (registry.server.requests.stream().filter(message -> message.startLine().contains("from=")).count() < count) {
             assertTrue(System.nanoTime() < deadline, "discovery received fewer than " + count + " watches");
             Thread.sleep(5);
         }
--- a/gateway/src/test/java/marlford/gateway/net/Sockets.java
+++ b/gateway/src/test/java/marlford/gateway/net/Sockets.java
@@ -28,14 +28,14 @@
  * chosen by the system.
  */
 final class Sockets {
-    static final int PATIENCE_MS = 30_000; // upper bound for every event that must occur
+    static final int TIMEOUT_MS = 30_000; // upper bound for every event that must occur
 
     private Sockets() { }
 
     /** An HTTP message as received: its start line, its headers under lower-case names, and its body. */
-    record Message(String start, Map<String, String> headers, byte[] body) {
+    record Message(String startLine, Map<String, String> headers, byte[] body) {
         int status() {
-            return Integer.parseInt(start.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         String header(String name) {
@@ -79,25 +79,25 @@
     }
 
     /** Handles a request that a server received; it may keep the socket open, write to it or close it. */
-    interface Answer {
-        void to(Message request, Socket socket) throws IOException, InterruptedException;
+    interface RequestHandler {
+        void handle(Message request, Socket socket) throws IOException, InterruptedException;
     }
 
     /**
      * A server that records the requests it receives and passes each to a handler, with one daemon thread per
      * connection.
      */
-    static final class Server implements Closeable {
-        final List<Message> asked = new CopyOnWriteArrayList<>();
+    static final class RecordingServer implements Closeable {
+        final List<Message> requests = new CopyOnWriteArrayList<>();
         final BlockingQueue<Message> arrivals = new LinkedBlockingQueue<>();
         // connections that are no longer served, normally because the peer closed them
-        final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+        final BlockingQueue<Socket> endedConnections = new LinkedBlockingQueue<>();
         private final ServerSocket listener;
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        private final Answer answer;
+        private final RequestHandler handler;
 
-        Server(Answer answer) throws IOException {
-            this.answer = answer;
+        RecordingServer(RequestHandler handler) throws IOException {
+            this.handler = handler;
             listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             startDaemonThread(this::accept);
         }
@@ -127,19 +127,19 @@
         private void serve(Socket s) {
             try {
                 for (Message m = read(s.getInputStream()); m != null; m = read(s.getInputStream())) {
-                    asked.add(m);
+                    requests.add(m);
                     arrivals.add(m);
-                    answer.to(m, s);
+                    handler.handle(m, s);
                 }
             } catch (IOException | InterruptedException e) {
                 // the connection was closed or the handler was interrupted
             }
-            ended.add(s);
+            endedConnections.add(s);
         }
 
         /** Waits for the next request; returns null when the test timeout expires. */
         Message next() throws InterruptedException {
-            return arrivals.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            return arrivals.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -152,15 +152,15 @@
     }
 
     /** A discovery agent with one full host list; each watch is held open until a further update is queued. */
-    static final class Registry implements Closeable {
-        final BlockingQueue<String> news = new LinkedBlockingQueue<>();
-        final Server server;
-        volatile String whole;
-
-        Registry(String whole) throws IOException {
-            this.whole = whole;
-            server = new Server((m, s) -> {
-                String body = m.start().contains("from=") ? news.take() : this.whole;
+    static final class DiscoveryAgent implements Closeable {
+        final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
+        final RecordingServer server;
+        volatile String fullList;
+
+        DiscoveryAgent(String fullList) throws IOException {
+            this.fullList = fullList;
+            server = new RecordingServer((m, s) -> {
+                String body = m.startLine().contains("from=") ? updates.take() : this.fullList;
                 s.getOutputStream().write(ok(body));
             });
         }
@@ -192,7 +192,7 @@
 
         Client(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
         }
 
         Client send(String text) throws IOException {
@@ -217,7 +217,7 @@
 
     /** A POST request of the class {@code order}, with an idempotency key. */
     static String order(String id, String body) {
-        return "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers(id, PATIENCE_MS) + "Idempotency-Key: key-" + id
+        return "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers(id, TIMEOUT_MS) + "Idempotency-Key: key-" + id
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -254,28 +254,28 @@
     }
 
     /** A started node with the real decision engine. */
-    static Node node(String config) throws IOException {
-        return node(config, DecisionEngine::new);
+    static Node startNode(String config) throws IOException {
+        return startNode(config, DecisionEngine::new);
     }
 
-    static Node node(String config, Function<Actions, Events> engineFactory) throws IOException {
-        Node node = unstarted(config, engineFactory);
+    static Node startNode(String config, Function<Actions, Events> engineFactory) throws IOException {
+        Node node = createNode(config, engineFactory);
         node.start();
         return node;
     }
 
     /** A node with the real decision engine that the test starts by itself. */
-    static Node unstarted(String config) throws IOException {
-        return unstarted(config, DecisionEngine::new);
+    static Node createNode(String config) throws IOException {
+        return createNode(config, DecisionEngine::new);
     }
 
-    private static Node unstarted(String config, Function<Actions, Events> engineFactory) throws IOException {
+    private static Node createNode(String config, Function<Actions, Events> engineFactory) throws IOException {
         return new Node(NodeConfig.of(new ObjectMapper().readTree(config)), engineFactory);
     }
 
     /** Polls until the condition holds; fails with the description when the test timeout expires. */
     static void await(Callable<Boolean> condition, String description) throws Exception {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!condition.call()) {
             if (System.nanoTime() > deadline) {
                 throw new AssertionError("condition not met in time: " + description);
--- a/gateway/src/test/java/marlford/gateway/net/StalledClientTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StalledClientTest.java
@@ -21,9 +21,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -37,7 +37,7 @@
     private static final long SWEEP_WAIT_MS = 220; // the gateway checks its connections every 100 ms
     private static final int RECEIVE_TIMEOUT_MS = 5000; // upper bound until an event at the gateway reaches the client
     private static final String PARTIAL_HEAD = "GET /view/x HTTP/1.1\r\nHost: h\r\nX-Tr";
-    private static final String ORDER_HEAD = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("ID", Sockets.PATIENCE_MS)
+    private static final String ORDER_HEAD = "POST /order/x HTTP/1.1\r\nHost: h\r\n" + headers("ID", Sockets.TIMEOUT_MS)
             + "Idempotency-Key: k\r\n";
     private static final int STABLE_CHECKS = 5; // consecutive observations
     private static final int LONG_BODY_POSITIONS = 2; // number of positions that lie within a long body
@@ -74,12 +74,12 @@
     /** What precedes the partial request on the connection. */
     enum Preceding { NOTHING, ONE_ANSWERED, ONE_HELD, TWENTY_HELD, MALFORMED }
 
-    private Server startHoldingHost() throws IOException {
+    private RecordingServer startHoldingHost() throws IOException {
         return startHost((m, s) -> {
-            if (m.start().contains("held")) {
-                released.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            if (m.startLine().contains("held")) {
+                released.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
-            s.getOutputStream().write(ok("y".repeat(m.start().contains("large") ? 60_000 : 2)));
+            s.getOutputStream().write(ok("y".repeat(m.startLine().contains("large") ? 60_000 : 2)));
         });
     }
 
@@ -94,18 +94,18 @@
      * Advances the clock by the stall limit, in steps that the gateway observes; held requests are answered on the
      * way.
      */
-    private void passStallLimit(Node node, MovedClock clock) throws Exception {
+    private void passStallLimit(Node node, ManualClock clock) throws Exception {
         passStallLimit(node, clock, HELD_RELEASE_MS);
     }
 
-    private void passStallLimit(Node node, MovedClock clock, double releasedMs) throws Exception {
+    private void passStallLimit(Node node, ManualClock clock, double releasedMs) throws Exception {
         runLoopTwice(node);
         for (double passed = 0; passed < STALL_LIMIT_MS; passed += CLOCK_STEP_MS) {
             if (passed == releasedMs) {
                 released.countDown();
                 awaitAnswersAhead(node); // while the clock is stopped
             }
-            clock.move(CLOCK_STEP_MS);
+            clock.advance(CLOCK_STEP_MS);
             node.loop.schedule(() -> { }, SWEEP_WAIT_MS, TimeUnit.MILLISECONDS).get();
         }
     }
@@ -125,11 +125,11 @@
     private static String precedingRequests(Preceding preceding, String name) {
         return switch (preceding) {
             case NOTHING, ONE_ANSWERED -> "";
-            case ONE_HELD -> view("held" + name, Sockets.PATIENCE_MS);
+            case ONE_HELD -> view("held" + name, Sockets.TIMEOUT_MS);
             case TWENTY_HELD -> {
-                StringBuilder all = new StringBuilder(view("held" + name, Sockets.PATIENCE_MS));
+                StringBuilder all = new StringBuilder(view("held" + name, Sockets.TIMEOUT_MS));
                 for (int i = 1; i < 20; i++) {
-                    all.append(view("n" + i + name, Sockets.PATIENCE_MS));
+                    all.append(view("n" + i + name, Sockets.TIMEOUT_MS));
                 }
                 yield all.toString();
             }
@@ -156,14 +156,14 @@
     @ParameterizedTest
     @EnumSource
     void stallBehindEarlierRequests(Preceding preceding) throws Exception {
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(startHoldingHost(), clock);
         Map<Position, Client> clients = new EnumMap<>(Position.class);
         for (Position position : Position.values()) {
             Client c = connectClient(node);
             clients.put(position, c);
             if (preceding == Preceding.ONE_ANSWERED) {
-                assertEquals(200, c.send(view("kept" + position, Sockets.PATIENCE_MS)).receive().status());
+                assertEquals(200, c.send(view("kept" + position, Sockets.TIMEOUT_MS)).receive().status());
             }
             c.send(precedingRequests(preceding, position.name()) + position.part());
         }
@@ -182,12 +182,12 @@
     @ParameterizedTest
     @EnumSource(names = {"HEAD", "BODY", "LONG_BODY"})
     void stallBehindUnreadAnswers(Position position) throws Exception {
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(startHoldingHost(), clock);
         Client c = clientWithSmallBuffer(node);
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < PIPELINED_REQUESTS; i++) {
-            all.append(view("large" + i, Sockets.PATIENCE_MS));
+            all.append(view("large" + i, Sockets.TIMEOUT_MS));
         }
         c.send(all + position.part());
         Sockets.await(() -> node.loop.submit(node::hasUnsentOutput).get(), "an answer can't be written");
@@ -214,13 +214,13 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void stallDuringShutdownOrReplacement(boolean replaced) throws Exception {
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(startHoldingHost(), clock);
         Map<Position, Client> clients = new EnumMap<>(Position.class);
         for (Position position : Position.values()) {
             Client c = connectClient(node);
             clients.put(position, c);
-            assertEquals(200, c.send(view("kept" + position, Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, c.send(view("kept" + position, Sockets.TIMEOUT_MS)).receive().status());
             c.send(position.part());
         }
         runLoopTwice(node);
@@ -228,7 +228,7 @@
             node.handoverSteps(() -> { }).handOver();
             node.handoverSteps(() -> { }).stopAccepting();
         } else {
-            node.loop.submit(() -> node.drainAfter(Sockets.PATIENCE_MS)).get();
+            node.loop.submit(() -> node.drainAfter(Sockets.TIMEOUT_MS)).get();
         }
         passStallLimit(node, clock);
         assertAllEnded(clients);
@@ -240,10 +240,10 @@
      */
     @Test
     void stallWhereTheHostReadsNoBody() throws Exception {
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         // the accept queue completes the connection
         ServerSocket host = closeAfterTest(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", "127.0.0.1:" + host.getLocalPort(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", "127.0.0.1:" + host.getLocalPort(), "ready"))));
         Node node = startNodeWithClock(Sockets.config(registry.server.address(), "127.0.0.1:0"), clock);
         Client c = connectClient(node);
         Thread writer = new Thread(() -> {
@@ -260,7 +260,7 @@
         writer.start();
         writer.join(SWEEP_WAIT_MS); // until the buffers on the path are full
         for (int i = 0; i < 24; i++) {
-            clock.move(CLOCK_STEP_MS);
+            clock.advance(CLOCK_STEP_MS);
             node.loop.schedule(() -> { }, 2 * SWEEP_WAIT_MS, TimeUnit.MILLISECONDS).get();
         }
         c.socket.setSoTimeout(RECEIVE_TIMEOUT_MS);
@@ -274,9 +274,9 @@
      */
     @Test
     void aClientThatWaitsForContinueIsServed() throws Exception {
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(startHoldingHost(), clock);
-        Client c = connectClient(node).send(view("held", Sockets.PATIENCE_MS) + Position.EXPECTED_BODY.part());
+        Client c = connectClient(node).send(view("held", Sockets.TIMEOUT_MS) + Position.EXPECTED_BODY.part());
         passStallLimit(node, clock, STALL_LIMIT_MS - CLOCK_STEP_MS);
         assertEquals(200, c.receive().status());
         assertEquals(100, c.receive().status());
@@ -286,14 +286,14 @@
     /** A slow client that keeps sending has not stalled: it may take two seconds for a head, and pause within a body. */
     @Test
     void aSlowClientIsServed() throws Exception {
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(startHoldingHost(), clock);
         Client c = connectClient(node);
         String head = ORDER_HEAD + "Content-Length: 10\r\n\r\n";
         for (String part : new String[] {head.substring(0, 20), head.substring(20) + "four_and_", "5"}) {
             c.send(part);
             runLoopTwice(node);
-            clock.move(part.startsWith("POST") ? 2000 : 1000);
+            clock.advance(part.startsWith("POST") ? 2000 : 1000);
             node.loop.schedule(() -> { }, SWEEP_WAIT_MS, TimeUnit.MILLISECONDS).get();
         }
         assertEquals(200, c.receive().status());
--- a/gateway/src/test/java/marlford/gateway/net/StartSocketFailureTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StartSocketFailureTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.DecisionEngine;
 import marlford.gateway.net.Sockets.Client;
-import marlford.gateway.net.Sockets.Registry;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import org.junit.jupiter.api.Test;
 
 /** A temporary lack of descriptors does not fail a start; an address that another process uses does. */
@@ -52,7 +52,7 @@
     };
 
     private Node node() throws Exception {
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", startHost(SocketTest::echo).address(), "ready"))));
         Node node = new Node(NodeConfig.of(new ObjectMapper().readTree(Sockets.config(registry.server.address(), "127.0.0.1:0"))),
                 DecisionEngine::new, transport, new NioEventLoopGroup(1));
         resources.push(node::stop);
@@ -63,7 +63,7 @@
         Node node = node();
         node.start();
         try (Client c = new Client(node)) {
-            assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+            assertEquals(200, c.send(view("a", Sockets.TIMEOUT_MS)).receive().status());
         }
     }
 
--- a/gateway/src/test/java/marlford/gateway/net/StreamingEventOrderTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StreamingEventOrderTest.java
@@ -205,7 +205,7 @@
                 case CLIENT_PART -> {
                     if (sentParts < PART_ENDS.length && client.isActive()) {
                         client.writeAndFlush(Unpooled.wrappedBuffer(part("POST /order/x HTTP/1.1\r\nHost: h\r\n"
-                                + Sockets.headers(id, Sockets.PATIENCE_MS) + "Idempotency-Key: k\r\nContent-Length: "
+                                + Sockets.headers(id, Sockets.TIMEOUT_MS) + "Idempotency-Key: k\r\nContent-Length: "
                                 + BODY_BYTES + "\r\n\r\n", sentParts++)));
                     }
                 }
@@ -392,8 +392,8 @@
         startNode();
         connect();
         String get = "GET /view/x HTTP/1.1\r\nHost: h\r\n";
-        client.writeAndFlush(Unpooled.copiedBuffer(get + Sockets.headers("a", Sockets.PATIENCE_MS) + "\r\n"
-                + get + Sockets.headers("b", Sockets.PATIENCE_MS) + "\r\n", StandardCharsets.US_ASCII));
+        client.writeAndFlush(Unpooled.copiedBuffer(get + Sockets.headers("a", Sockets.TIMEOUT_MS) + "\r\n"
+                + get + Sockets.headers("b", Sockets.TIMEOUT_MS) + "\r\n", StandardCharsets.US_ASCII));
         settle();
         nodeGroup.submit(() -> {
             engine.actions.refuse("a", 0);
--- a/gateway/src/test/java/marlford/gateway/net/TwoEventRaceTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/TwoEventRaceTest.java
@@ -26,9 +26,9 @@
 import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.EngineApi.Request;
 import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import marlford.gateway.start.StartBudget;
 import marlford.gateway.upgrade.Successor;
 import org.junit.jupiter.api.Test;
@@ -38,7 +38,7 @@
 /** Race conditions between two events. Each test forces the order that once failed; no test depends on chance. */
 class TwoEventRaceTest extends SocketTest {
     /** A host that echoes and records the connection on which each request arrives. */
-    private Server recordingHost(List<Socket> connections) throws IOException {
+    private RecordingServer recordingHost(List<Socket> connections) throws IOException {
         return startHost((m, s) -> {
             connections.add(s);
             echo(m, s);
@@ -57,11 +57,12 @@
      */
     private static final class BlockingUntilClose implements NoOpEngine {
         private final Actions actions;
-        private final Server host;
+        private final RecordingServer host;
         private final AtomicReference<Outcome> outcome;
         private final AtomicReference<Boolean> closedBeforeEvent;
 
-        BlockingUntilClose(Actions actions, Server host, AtomicReference<Outcome> outcome, AtomicReference<Boolean> closedBeforeEvent) {
+        BlockingUntilClose(Actions actions, RecordingServer host, AtomicReference<Outcome> outcome,
+                AtomicReference<Boolean> closedBeforeEvent) {
             this.actions = actions;
             this.host = host;
             this.outcome = outcome;
@@ -77,7 +78,7 @@
         public void onAttemptEnded(double now, AttemptResult r) {
             outcome.set(r.outcome());
             try {
-                closedBeforeEvent.set(host.ended.poll(CLOSE_TIMEOUT_S, TimeUnit.SECONDS) != null);
+                closedBeforeEvent.set(host.endedConnections.poll(CLOSE_TIMEOUT_S, TimeUnit.SECONDS) != null);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -112,7 +113,7 @@
             }
             loopBlocked.countDown();
             try {
-                assertTrue(responseWritten.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(responseWritten.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -142,18 +143,18 @@
         CountDownLatch firstPartWritten = new CountDownLatch(1);
         byte[] response = ok("in time");
         int split = partial ? 10 : 0;
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             s.getOutputStream().write(response, 0, split);
             firstPartWritten.countDown();
-            loopBlocked.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            loopBlocked.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             s.getOutputStream().write(response, split, response.length - split);
             responseWritten.countDown();
         });
         AtomicReference<Outcome> outcome = new AtomicReference<>();
         Node node = startNodeWithHosts(host, actions -> new BlockingPastTimeLimit(actions, loopBlocked, responseWritten, outcome));
-        Client waitingClient = connectClient(node).send(view("a", Sockets.PATIENCE_MS));
-        assertTrue(firstPartWritten.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        Client blockingClient = connectClient(node).send(view("b", Sockets.PATIENCE_MS));
+        Client waitingClient = connectClient(node).send(view("a", Sockets.TIMEOUT_MS));
+        assertTrue(firstPartWritten.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        Client blockingClient = connectClient(node).send(view("b", Sockets.TIMEOUT_MS));
         assertEquals(200, waitingClient.receive().status());
         Sockets.await(() -> outcome.get() != null, "the engine is notified, just after the client has the response");
         assertEquals(Outcome.OK, outcome.get());
@@ -171,12 +172,12 @@
     @ValueSource(strings = {"HTTP/1.1 twohundred\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nno length",
         "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nand no more", "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n"})
     void anAttemptsConnectionIsClosedBeforeTheEngineIsNotified(String malformedResponse) throws Exception {
-        Server host = startHost((m, s) -> s.getOutputStream().write(bytes(malformedResponse)));
+        RecordingServer host = startHost((m, s) -> s.getOutputStream().write(bytes(malformedResponse)));
         AtomicReference<Outcome> outcome = new AtomicReference<>();
         AtomicReference<Boolean> closedBeforeEvent = new AtomicReference<>();
         Node node = startNodeWithHosts(host, actions -> new BlockingUntilClose(actions, host, outcome, closedBeforeEvent));
         // A response that is too long can't be passed to a client of HTTP before chunked encoding and lengths.
-        assertEquals(502, connectClient(node).send(view("v", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(502, connectClient(node).send(view("v", Sockets.TIMEOUT_MS)).receive().status());
         assertEquals(Outcome.SPOILT, outcome.get());
         assertTrue(closedBeforeEvent.get(), "the connection of the first attempt was still open");
     }
@@ -191,20 +192,20 @@
     @ValueSource(strings = {"draining", "gone", "ready"})
     void aRequestAwaitingAConnectionToARemovedHostIsSentToAnother(String state) throws Exception {
         BlockedHost blockedHost = closeAfterTest(new BlockedHost());
-        Server other = startHost(SocketTest::echo);
+        RecordingServer other = startHost(SocketTest::echo);
         Node node = startNodeWithEntries(entry("h0", blockedHost.address(), "ready"));
         awaitDiscoveryWatches(1);
-        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client c = connectClient(node).send(view("v", Sockets.TIMEOUT_MS));
         Sockets.await(() -> isOpenRequest(node, "v"), "the request is accepted");
         String updatedEntry = state.equals("ready") // restarted at another address
                 ? entry("h0", other.address(), state).replace("\"started_ms\":0", "\"started_ms\":1")
                 : entry("h0", blockedHost.address(), state);
-        registry.news.add(list(2, false, updatedEntry, entry("h1", other.address(), "ready")));
+        registry.updates.add(list(2, false, updatedEntry, entry("h1", other.address(), "ready")));
         awaitDiscoveryWatches(2);
         blockedHost.startAccepting();
         assertEquals("for v ", c.receive().text());
         assertEquals(List.of(), blockedHost.requestLines);
-        assertEquals(1, other.asked.size());
+        assertEquals(1, other.requests.size());
     }
 
     /**
@@ -215,10 +216,10 @@
     @ValueSource(booleans = {false, true})
     void aRequestIsNotSentWhenItsClientDisconnectsDuringConnect(boolean reset) throws Exception {
         BlockedHost blockedHost = closeAfterTest(new BlockedHost());
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", blockedHost.address(), "ready"))));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", blockedHost.address(), "ready"))));
         Node node = startNode(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"cancel\": true", "\"cancel\": false"));
-        Client c = connectClient(node).send(view("v", Sockets.PATIENCE_MS));
+        Client c = connectClient(node).send(view("v", Sockets.TIMEOUT_MS));
         Sockets.await(() -> isOpenRequest(node, "v"), "the request is accepted");
         if (reset) {
             c.socket.setSoLinger(true, 0);
@@ -240,16 +241,16 @@
     @ValueSource(booleans = {false, true})
     void queuedRequestsOfDisconnectedClientsAreNotSent(boolean reset) throws Exception {
         CountDownLatch clientsGone = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             if (m.header("X-Trace-Id").startsWith("first")) {
-                clientsGone.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                clientsGone.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
         Node node = startNodeWithHosts(host);
         List<Client> earlierClients = new ArrayList<>();
         for (int i = 0; i < 40; i++) { // more than the concurrency slots of one gateway at one host
-            earlierClients.add(connectClient(node).send(view("first" + i, Sockets.PATIENCE_MS)));
+            earlierClients.add(connectClient(node).send(view("first" + i, Sockets.TIMEOUT_MS)));
         }
         for (int i = 0; i < 40; i++) {
             String id = "first" + i;
@@ -257,7 +258,7 @@
         }
         List<Client> disconnectingClients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            disconnectingClients.add(connectClient(node).send(view("left" + i, Sockets.PATIENCE_MS)));
+            disconnectingClients.add(connectClient(node).send(view("left" + i, Sockets.TIMEOUT_MS)));
         }
         Sockets.await(() -> isOpenRequest(node, "left199"), "the last request is queued");
         for (Client c : disconnectingClients) {
@@ -274,7 +275,7 @@
         for (Client c : earlierClients) {
             assertEquals(200, c.receive().status());
         }
-        assertTrue(host.asked.stream().noneMatch(m -> m.header("X-Trace-Id").startsWith("left")));
+        assertTrue(host.requests.stream().noneMatch(m -> m.header("X-Trace-Id").startsWith("left")));
     }
 
     // ---- idle connections
@@ -286,15 +287,15 @@
     @Test
     void aConnectionIdleForTooLongIsNotReused() throws Exception {
         List<Socket> connections = new ArrayList<>();
-        Server host = recordingHost(connections);
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
-        MovedClock clock = new MovedClock();
+        RecordingServer host = recordingHost(connections);
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
+        ManualClock clock = new ManualClock();
         Node node = startNodeWithClock(Sockets.config(registry.server.address(), "127.0.0.1:0")
                 .replace("\"connect_timeout_ms\": 5000", "\"connect_timeout_ms\": 5000, \"conn_idle_ms\": 20000"), clock);
         Client c = connectClient(node);
         assertEquals(200, c.send(view("a", CLIENT_TIME_MS)).receive().status());
         node.loop.submit(() -> {
-            clock.move(13_000); // same event loop task as the request that follows, so no sweep runs in between
+            clock.advance(13_000); // same event loop task as the request that follows, so no sweep runs in between
             try {
                 c.send(view("b", CLIENT_TIME_MS));
             } catch (IOException e) {
@@ -313,19 +314,19 @@
     @Test
     void aSecondResponseThatCrossesTheNextRequestIsDiscarded() throws Exception {
         List<Socket> connections = new ArrayList<>();
-        Server host = startHost((m, s) -> {
+        RecordingServer host = startHost((m, s) -> {
             if (connections.contains(s)) { // as if it had been sent just before this request arrived
                 s.getOutputStream().write(ok("the previous response, repeated"));
             }
             connections.add(s);
             echo(m, s);
         });
-        MovedClock clock = MovedClock.standing();
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(host, clock);
         Client c = connectClient(node);
         for (int i = 0; i < 5; i++) {
             assertEquals("for v" + i + " ", c.send(view("v" + i, CLIENT_TIME_MS)).receive().text());
-            node.loop.submit(() -> clock.move(HostClient.MIN_REST_MS / 10)).sync();
+            node.loop.submit(() -> clock.advance(HostClient.MIN_REST_MS / 10)).sync();
         }
         assertEquals(5, connections.size());
     }
@@ -334,13 +335,13 @@
     @Test
     void aConnectionIsReusedAfterItsRestTime() throws Exception {
         List<Socket> connections = new ArrayList<>();
-        Server host = recordingHost(connections);
-        MovedClock clock = MovedClock.standing();
+        RecordingServer host = recordingHost(connections);
+        ManualClock clock = ManualClock.stopped();
         Node node = startNodeWithHosts(host, clock);
         Client c = connectClient(node);
         for (int i = 0; i < 3; i++) {
             assertEquals(200, c.send(view("v" + i, CLIENT_TIME_MS)).receive().status());
-            node.loop.submit(() -> clock.move(HostClient.MIN_REST_MS + 1)).sync(); // after the event loop task in which it became idle
+            node.loop.submit(() -> clock.advance(HostClient.MIN_REST_MS + 1)).sync(); // after the event loop task in which it became idle
         }
         assertEquals(1, connections.stream().distinct().count());
     }
@@ -355,22 +356,22 @@
     @ValueSource(ints = {2, 16, 17, 40, 60})
     void pipelinedRequestsOfADisconnectedClientAreNotSent(int requestCount) throws Exception {
         CountDownLatch clientsGone = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
-            clientsGone.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((m, s) -> {
+            clientsGone.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             echo(m, s);
         });
         Node node = startNodeWithHosts(host);
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < requestCount; i++) {
-            all.append(view("p" + i, Sockets.PATIENCE_MS));
+            all.append(view("p" + i, Sockets.TIMEOUT_MS));
         }
         Client c = connectClient(node).send(all.toString());
         assertNotNull(host.next());
         c.close();
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway has noticed that the client disconnected");
         clientsGone.countDown();
-        assertEquals("for w ", connectClient(node).send(view("w", Sockets.PATIENCE_MS)).receive().text());
-        assertEquals(2, host.asked.size());
+        assertEquals("for w ", connectClient(node).send(view("w", Sockets.TIMEOUT_MS)).receive().text());
+        assertEquals(2, host.requests.size());
     }
 
     // ---- the last response on a connection
@@ -399,7 +400,7 @@
     @Test
     void theLastResponseIsCompleteDespiteUnreadInput() throws Exception {
         String text = "x".repeat(60_000);
-        Server host = startHost((m, s) -> s.getOutputStream().write(ok(text)));
+        RecordingServer host = startHost((m, s) -> s.getOutputStream().write(ok(text)));
         Node node = startNodeWithHosts(host);
         Client c = clientWithSmallBuffer(node).send(lastRequestAndMore(1000));
         assertNotNull(host.next());
@@ -409,7 +410,7 @@
         }
         assertEquals(text, c.receive().text());
         assertNull(c.receive());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     /**
@@ -419,7 +420,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aClientThatStaysAfterItsLastResponseIsDisconnected(boolean keepsSending) throws Exception {
-        MovedClock clock = new MovedClock();
+        ManualClock clock = new ManualClock();
         Node node = startNodeWithHosts(startHost(SocketTest::echo), clock);
         Client c = connectClient(node).send(lastRequestAndMore(0));
         assertEquals("for v ", c.receive().text());
@@ -432,7 +433,7 @@
                 }
             });
         } else {
-            clock.move(CLIENT_TIME_MS / 10.0);
+            clock.advance(CLIENT_TIME_MS / 10.0);
         }
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway closes the connection");
     }
@@ -445,25 +446,25 @@
      */
     @Test
     void aRequestAfterTheEndOfADrainIsAnsweredAtOnce() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Node node = startNodeWithHosts(host);
         Client c = connectClient(node);
-        assertEquals(200, c.send(view("a", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, c.send(view("a", Sockets.TIMEOUT_MS)).receive().status());
         node.loop.submit(node::endAllRequests).sync();
-        Message response = c.send(view("b", Sockets.PATIENCE_MS)).receive();
+        Message response = c.send(view("b", Sockets.TIMEOUT_MS)).receive();
         assertEquals(503, response.status());
         assertNotNull(response.header("Retry-After"));
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 
     /** A queued request that was never sent can be retried at another gateway; it was once answered as failed. */
     @Test
     void requestsQueuedAtShutdownAreRefusedWithRetryAfter() throws Exception {
-        Server host = startHost((m, s) -> { });
+        RecordingServer host = startHost((m, s) -> { });
         Node node = startNodeWithHosts(host);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            clients.add(connectClient(node).send(view("v" + i, Sockets.PATIENCE_MS)));
+            clients.add(connectClient(node).send(view("v" + i, Sockets.TIMEOUT_MS)));
             String id = "v" + i;
             Sockets.await(() -> isOpenRequest(node, id), id);
         }
@@ -473,7 +474,7 @@
             assertEquals(429, response.status());
             assertNotNull(response.header("Retry-After"));
         }
-        assertTrue(host.asked.size() < 40, "no request was queued");
+        assertTrue(host.requests.size() < 40, "no request was queued");
     }
 
     /** Connections in the accept queue were once reset when the listener closed. */
@@ -484,8 +485,8 @@
         Socket waiting = node.loop.submit(() -> {
             node.clientServer.stopAccepting();
             Socket s = new Socket(InetAddress.getLoopbackAddress(), port); // made on the event loop, which accepts it only afterwards
-            s.setSoTimeout(Sockets.PATIENCE_MS);
-            s.getOutputStream().write(bytes(view("q", Sockets.PATIENCE_MS)));
+            s.setSoTimeout(Sockets.TIMEOUT_MS);
+            s.getOutputStream().write(bytes(view("q", Sockets.TIMEOUT_MS)));
             return s;
         }).get();
         closeAfterTest(waiting);
@@ -496,15 +497,15 @@
     /** A new connection is about to carry a request; it was once closed as idle while the request was on its way. */
     @Test
     void aNewConnectionIsNotIdle() throws Exception {
-        MovedClock clock = new MovedClock();
+        ManualClock clock = new ManualClock();
         Node node = startNodeWithHosts(startHost(SocketTest::echo), clock);
         Client c = connectClient(node);
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 1, "the connection is accepted");
         node.loop.submit(node.clientServer::closeIdleConnections).sync();
-        assertEquals("for v ", c.send(view("v", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for v ", c.send(view("v", Sockets.TIMEOUT_MS)).receive().text());
         Client silent = connectClient(node);
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 2, "the connection is accepted");
-        clock.move(1000);
+        clock.advance(1000);
         node.loop.submit(node.clientServer::closeIdleConnections).sync();
         assertNull(silent.receive());
     }
@@ -514,14 +515,14 @@
     void shutdownDuringTheStartOpensNoListener() throws Exception {
         CountDownLatch called = new CountDownLatch(1);
         CountDownLatch releaseResponse = new CountDownLatch(1);
-        Server agent = closeAfterTest(new Server((m, s) -> {
+        RecordingServer agent = closeAfterTest(new RecordingServer((m, s) -> {
             called.countDown();
-            if (!m.start().contains("from=")) {
-                releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            if (!m.startLine().contains("from=")) {
+                releaseResponse.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 s.getOutputStream().write(ok(list(1, true)));
             }
         }));
-        Node node = Sockets.unstarted(Sockets.config(agent.address(), "127.0.0.1:0"));
+        Node node = Sockets.createNode(Sockets.config(agent.address(), "127.0.0.1:0"));
         resources.push(node::stop);
         AtomicReference<Boolean> served = new AtomicReference<>();
         Thread start = new Thread(() -> {
@@ -532,7 +533,7 @@
             }
         });
         start.start();
-        assertTrue(called.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS), "the start waits for the first discovery response");
+        assertTrue(called.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS), "the start waits for the first discovery response");
         node.loop.submit(() -> {
             node.drain();
             node.clientServer.stopAccepting(); // as if the time to stop accepting had come
@@ -541,7 +542,7 @@
         start.join();
         assertEquals(false, served.get());
         assertNull(node.clientServer.listener());
-        assertTrue(node.awaitDrained(Sockets.PATIENCE_MS));
+        assertTrue(node.awaitDrained(Sockets.TIMEOUT_MS));
     }
 
     /** Shutdown and handover to another process, in either order: a connection in the accept queue is served once. */
@@ -564,8 +565,8 @@
         if (!shutdownFirst) {
             node.loop.submit(node.clientServer::stopAccepting).sync();
         }
-        waiting.setSoTimeout(Sockets.PATIENCE_MS);
-        waiting.getOutputStream().write(bytes(view("q", Sockets.PATIENCE_MS)));
+        waiting.setSoTimeout(Sockets.TIMEOUT_MS);
+        waiting.getOutputStream().write(bytes(view("q", Sockets.TIMEOUT_MS)));
         assertEquals("for q ", Sockets.read(waiting.getInputStream()).text());
         assertNull(node.clientServer.listener());
     }
@@ -581,15 +582,15 @@
         CountDownLatch called = new CountDownLatch(1);
         CountDownLatch releaseResponse = new CountDownLatch(1);
         List<Integer> connections = new ArrayList<>();
-        Server agent = closeAfterTest(new Server((m, s) -> {
+        RecordingServer agent = closeAfterTest(new RecordingServer((m, s) -> {
             connections.add(s.getPort());
             called.countDown();
-            if (!m.start().contains("from=")) {
-                releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            if (!m.startLine().contains("from=")) {
+                releaseResponse.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 s.getOutputStream().write(ok(list(1, true)));
             }
         }));
-        Node node = Sockets.unstarted(Sockets.config(agent.address(), "127.0.0.1:0"));
+        Node node = Sockets.createNode(Sockets.config(agent.address(), "127.0.0.1:0"));
         resources.push(node::stop);
         Thread start = new Thread(() -> {
             try {
@@ -599,7 +600,7 @@
             }
         });
         start.start();
-        assertTrue(called.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(called.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         node.loop.submit(() -> {
             releaseResponse.countDown();
             double end = node.clock.now() + 1500; // beyond the time limit of a call for a full list
--- a/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
@@ -28,9 +28,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import marlford.gateway.net.Sockets.Client;
+import marlford.gateway.net.Sockets.DiscoveryAgent;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Registry;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import marlford.gateway.start.StartBudget;
 import marlford.gateway.upgrade.Predecessor;
 import marlford.gateway.upgrade.Successor;
@@ -64,8 +64,8 @@
         return dir.resolve("s");
     }
 
-    private Node startOldNode(Server host) throws IOException {
-        registry = closeAfterTest(new Registry(list(1, true, entry("h0", host.address(), "ready"))));
+    private Node startOldNode(RecordingServer host) throws IOException {
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true, entry("h0", host.address(), "ready"))));
         Node node = startNode(config());
         listenForSuccessor(node);
         return node;
@@ -82,13 +82,13 @@
     }
 
     private Predecessor connectToOldNode() throws Exception {
-        Predecessor found = Predecessor.find(socketPath(), Sockets.PATIENCE_MS);
+        Predecessor found = Predecessor.find(socketPath(), Sockets.TIMEOUT_MS);
         assertNotNull(found);
         return closeAfterTest(found);
     }
 
     private Node startNewNode(String config) throws Exception {
-        Node node = Sockets.unstarted(config);
+        Node node = Sockets.createNode(config);
         resources.push(node::stop);
         node.start(connectToOldNode(), freshBudget());
         return node;
@@ -108,7 +108,7 @@
         private Message exchange(String request) throws IOException {
             if (socket == null) {
                 socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                socket.setSoTimeout(Sockets.PATIENCE_MS);
+                socket.setSoTimeout(Sockets.TIMEOUT_MS);
             }
             Message response;
             try {
@@ -129,13 +129,13 @@
             List<String> failures = new ArrayList<>();
             for (int i = 0; !stopped.get(); i++) {
                 String id = name + "-" + i;
-                String request = i % 3 == 0 ? order(id, "b") : view(id, Sockets.PATIENCE_MS);
+                String request = i % 3 == 0 ? order(id, "b") : view(id, Sockets.TIMEOUT_MS);
                 Message response = exchange(request);
                 if (response == null) {
                     response = exchange(request); // retries on a new connection, as HTTP allows for a closed idle one
                 }
                 if (response == null || response.status() != 200 || !response.text().startsWith("for " + id)) {
-                    failures.add(id + ": " + (response == null ? "no answer" : response.start()));
+                    failures.add(id + ": " + (response == null ? "no answer" : response.startLine()));
                 }
                 Thread.sleep(1);
             }
@@ -147,8 +147,8 @@
     @Test
     void noRequestIsLostThroughConsecutiveUpgrades() throws Exception {
         AtomicInteger orders = new AtomicInteger();
-        Server host = startHost((m, s) -> {
-            if (m.start().startsWith("POST")) {
+        RecordingServer host = startHost((m, s) -> {
+            if (m.startLine().startsWith("POST")) {
                 orders.incrementAndGet();
             }
             echo(m, s);
@@ -162,21 +162,21 @@
                 clients.add(threads.submit(new PersistentClient("c" + i, stopped)));
             }
             for (int i = 0; i < UPGRADES; i++) {
-                int requestsBefore = host.asked.size();
-                while (host.asked.size() < requestsBefore + 10 * CLIENTS) {
+                int requestsBefore = host.requests.size();
+                while (host.requests.size() < requestsBefore + 10 * CLIENTS) {
                     Thread.sleep(1); // load precedes each upgrade
                 }
                 listenForSuccessor(startNewNode(config()));
             }
             stopped.set(true);
             for (Future<List<String>> c : clients) {
-                assertEquals(List.of(), c.get(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertEquals(List.of(), c.get(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             }
         } finally {
             stopped.set(true);
             threads.shutdown();
         }
-        long distinct = host.asked.stream().filter(m -> m.start().startsWith("POST"))
+        long distinct = host.requests.stream().filter(m -> m.startLine().startsWith("POST"))
                 .map(m -> m.header("Idempotency-Key")).distinct().count();
         assertEquals(distinct, orders.get());
     }
@@ -184,15 +184,15 @@
     @Test
     void openRequestsAreAnsweredByTheOldProcess() throws Exception {
         CountDownLatch releaseResponse = new CountDownLatch(1);
-        Server host = startHost((m, s) -> {
-            if (m.start().startsWith("POST")) {
-                releaseResponse.await(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RecordingServer host = startHost((m, s) -> {
+            if (m.startLine().startsWith("POST")) {
+                releaseResponse.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             echo(m, s);
         });
         Node oldNode = startOldNode(host);
         Client busy = connectClient(oldNode).send(order("o", "b"));
-        Client idle = connectClient(oldNode).send(view("v", Sockets.PATIENCE_MS));
+        Client idle = connectClient(oldNode).send(view("v", Sockets.TIMEOUT_MS));
         assertEquals(200, idle.receive().status());
         Client silent = connectClient(oldNode); // has not sent a request yet
         assertNotNull(host.next());
@@ -201,38 +201,38 @@
         }
         Node newNode = startNewNode(config());
         assertNull(idle.receive());
-        assertEquals("for late ", silent.send(view("late", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for late ", silent.send(view("late", Sockets.TIMEOUT_MS)).receive().text());
         assertNull(silent.receive());
-        assertEquals("for new ", connectClient(newNode).send(view("new", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for new ", connectClient(newNode).send(view("new", Sockets.TIMEOUT_MS)).receive().text());
         releaseResponse.countDown();
         Message response = busy.receive();
         assertEquals("for o b", response.text());
         assertEquals("close", response.header("Connection"));
-        assertEquals(1, host.asked.stream().filter(m -> m.start().startsWith("POST")).count());
+        assertEquals(1, host.requests.stream().filter(m -> m.startLine().startsWith("POST")).count());
         oldNode.stop();
-        assertEquals("for on ", connectClient(newNode).send(view("on", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for on ", connectClient(newNode).send(view("on", Sockets.TIMEOUT_MS)).receive().text());
     }
 
     @Test
     void aNewProcessThatStopsReturnsTheServingRole() throws Exception {
-        Server host = startHost(SocketTest::echo);
+        RecordingServer host = startHost(SocketTest::echo);
         Node oldNode = startOldNode(host);
-        Node newNode = Sockets.unstarted(config());
+        Node newNode = Sockets.createNode(config());
         Predecessor link = connectToOldNode();
         newNode.start(link, freshBudget());
-        assertEquals("for a ", connectClient(newNode).send(view("a", Sockets.PATIENCE_MS)).receive().text());
+        assertEquals("for a ", connectClient(newNode).send(view("a", Sockets.TIMEOUT_MS)).receive().text());
         newNode.stop();
         link.close();
         Sockets.await(() -> serves("b"), "the old process serves again");
-        Client kept = connectClient(oldNode).send(view("c", Sockets.PATIENCE_MS));
+        Client kept = connectClient(oldNode).send(view("c", Sockets.TIMEOUT_MS));
         assertNull(kept.receive().header("Connection")); // connections are persistent again
-        assertEquals(200, kept.send(view("d", Sockets.PATIENCE_MS)).receive().status());
+        assertEquals(200, kept.send(view("d", Sockets.TIMEOUT_MS)).receive().status());
     }
 
     private boolean serves(String id) {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.setSoTimeout(Sockets.PATIENCE_MS);
-            s.getOutputStream().write(Sockets.bytes(view(id, Sockets.PATIENCE_MS)));
+            s.setSoTimeout(Sockets.TIMEOUT_MS);
+            s.getOutputStream().write(Sockets.bytes(view(id, Sockets.TIMEOUT_MS)));
             Message response = Sockets.read(s.getInputStream());
             return response != null && response.status() == 200;
         } catch (IOException e) {
@@ -243,12 +243,12 @@
     /** Datagrams to the shared address reach the process that decides, also after the serving role has been returned. */
     @Test
     void peerMessagesReachTheServingProcess() throws Exception {
-        registry = closeAfterTest(new Registry(list(1, true)));
+        registry = closeAfterTest(new DiscoveryAgent(list(1, true)));
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             String config = config("127.0.0.1:" + port, "127.0.0.1:" + peer.getLocalPort());
             Node oldNode = startNode(config);
             listenForSuccessor(oldNode);
-            Node newNode = Sockets.unstarted(config);
+            Node newNode = Sockets.createNode(config);
             Predecessor link = connectToOldNode();
             newNode.start(link, freshBudget());
             awaitPeerMessageAt(peer, newNode);
@@ -270,7 +270,7 @@
     @Test
     void anAddressInUseIsNotShared() throws Exception {
         startOldNode(startHost(SocketTest::echo));
-        Node otherNode = Sockets.unstarted(config());
+        Node otherNode = Sockets.createNode(config());
         resources.push(otherNode::stop);
         IOException e = assertThrows(IOException.class, otherNode::start);
         assertTrue(e.getMessage().contains("another process uses the address"), e.getMessage());
--- a/gateway/src/test/java/marlford/gateway/net/WarmUpTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/WarmUpTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import marlford.gateway.net.Sockets.Client;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.net.Sockets.Server;
+import marlford.gateway.net.Sockets.RecordingServer;
 import org.junit.jupiter.api.Test;
 
 /** The warm-up with synthetic clients before a node accepts real ones. */
@@ -30,8 +30,8 @@
     @Test
     void answersEveryRequestAndStopsItsEventLoops() throws Exception {
         Set<String> before = eventLoopThreads();
-        assertEquals(ANSWERS, WarmUp.run(config(), ANSWERS, Sockets.PATIENCE_MS, () -> false));
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
+        assertEquals(ANSWERS, WarmUp.run(config(), ANSWERS, Sockets.TIMEOUT_MS, () -> false));
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.TIMEOUT_MS);
         while (!before.containsAll(eventLoopThreads())) {
             assertTrue(System.nanoTime() < end, "an event loop of the warm-up is still running");
             Thread.sleep(5);
@@ -41,7 +41,7 @@
     /** When other gateways serve, a restart waits only until each code path of a request has run once. */
     @Test
     void restartInAServingFleetEndsTheWarmUpEarly() throws Exception {
-        int answers = WarmUp.run(config(), Integer.MAX_VALUE, Sockets.PATIENCE_MS, () -> true);
+        int answers = WarmUp.run(config(), Integer.MAX_VALUE, Sockets.TIMEOUT_MS, () -> true);
         assertTrue(answers >= WarmUp.RESTART_ANSWERS, answers + " answers, expected at least the number for a restart");
     }
 
@@ -54,12 +54,12 @@
     /** The warm-up uses its own decision engines, so it changes no quotas, hosts or limits of the real node. */
     @Test
     void leavesTheRealNodeUnchanged() throws Exception {
-        WarmUp.run(config(), ANSWERS, Sockets.PATIENCE_MS, () -> false);
-        Server host = startHost(SocketTest::echo);
+        WarmUp.run(config(), ANSWERS, Sockets.TIMEOUT_MS, () -> false);
+        RecordingServer host = startHost(SocketTest::echo);
         Client client = connectClient(startNodeWithHosts(host));
-        Message answer = client.send(view("r1", Sockets.PATIENCE_MS).replace("X-Plan: free", "X-Plan: tiny")
+        Message answer = client.send(view("r1", Sockets.TIMEOUT_MS).replace("X-Plan: free", "X-Plan: tiny")
                 .replace("00000000b4d65521", "0000000000000001")).receive();
         assertEquals(200, answer.status());
-        assertEquals(1, host.asked.size());
+        assertEquals(1, host.requests.size());
     }
 }
