--- a/gateway/src/main/java/marlford/gateway/DecisionEngine.java
+++ b/gateway/src/main/java/marlford/gateway/DecisionEngine.java
@@ -27,6 +27,11 @@
  * broadcast their use ({@link GossipScheduler}). Where even broadcasts are too many, {@link QuotaCoordinator}
  * decides.
  *
+ * <p>The acting replica of a customer is the first of its replicas that counts as able to decide at present;
+ * {@link QuotaCoordinator} calls it the replica in charge. The backup replica holds a leased part of a
+ * ceiling while the primary is silent. In {@link TwoPartyLeases} the primary is the holder of that lease and
+ * the backup its successor.
+ *
  * <p>Deterministic: the time, the random seed and all input come from events. Not thread-safe; it belongs to
  * one event loop.
  */
@@ -42,11 +47,17 @@
 
     /** Time constant of demand averages: longer than the usual gap between a customer's requests. */
     private static final double DEMAND_WINDOW_MS = 2000;
-    /** Demand added in equal parts, as a share of the rate, so that each gateway gets some of a quota. */
+    /**
+     * Demand added in equal parts, as a share of the rate, so that each gateway gets some of a quota. Also
+     * the step by which a metered share rises.
+     */
     private static final double EVEN_DEMAND_SHARE = 0.05;
-    /** With an older report, admission needs a query to a ledger replica. */
+    /** Age up to which a report suffices for admission without a query to a ledger replica. */
     private static final double FRESH_REPORT_MS = 1000;
-    /** With an older report, each gateway has an equal share. Also the delay after failed discovery. */
+    /**
+     * Age up to which a report counts; with an older one each gateway has an equal share. Also the age up to
+     * which transfer requests are answered, and the delay before discovery is called again after a failure.
+     */
     private static final double STALE_REPORT_MS = 3000;
     /** Age of a report on arrival: half of the gap between two reports, and the transit. */
     private static final double REPORT_LAG_MS = 60;
@@ -59,13 +70,13 @@
     /** Gateways that keep a customer's ledger. One of them may be down. */
     private static final int LEDGER_REPLICAS = 2;
     private static final double REPLY_TIMEOUT_MS = 150;
-    /** After a missed reply a peer is not queried for this time. */
+    /** Time for which a peer is not queried after it has missed a reply. */
     private static final double UNRESPONSIVE_PEER_PAUSE_MS = 1000;
-    /** Share that is used of the messages per second that a gateway accepts. The rest is left for bursts. */
+    /** Part used of the messages per second that a gateway accepts. The rest is left for bursts. */
     private static final double MESSAGE_BUDGET_SHARE = 0.8;
-    /** The message budget of this time may be spent at once. */
+    /** Most message budget that can be saved up and spent at once, as the time in which it accrues. */
     private static final double MESSAGE_BURST_MS = 150;
-    /** The minimum gap between messages to one peer grows with the tier up to this value. */
+    /** Upper limit of the minimum gap between messages to one peer, which grows with the tier. */
     private static final double MAX_PEER_GAP_MS = 50;
     /** Interval of the reports with which the acting replica of a customer updates the other one. */
     private static final double REPLICA_SYNC_MS = 300;
@@ -98,41 +109,50 @@
     private static final double BURST_SLOTS_PER_ROOT = 0.7;
     /** Attempts in flight that a host gets at first, from all gateways together. */
     private static final double INITIAL_SLOTS_PER_HOST = 6;
-    /** With fewer attempts in flight, cores of a host would idle. */
+    /** Lower limit of the slots per host. With fewer attempts in flight, cores of a host would idle. */
     private static final double MIN_SLOTS_PER_HOST = 3;
-    /** With more attempts in flight, no host gains throughput. */
+    /** Upper limit of the slots per host. With more attempts in flight, no host gains throughput. */
     private static final double MAX_SLOTS_PER_HOST = 128;
-    /** Growth of the slots per host at each adaptation while requests wait and the hosts are fast. */
+    /** Factor of the slots per host at an adaptation if all slots were in use and the hosts are fast. */
     private static final double SLOT_GROWTH_FACTOR = 1.15;
-    /** Cut of the slots per host at each adaptation while requests queue at the hosts. */
+    /** Factor of the slots per host at an adaptation if requests queue at the hosts. */
     private static final double SLOT_CUT_FACTOR = 0.85;
     private static final double SLOT_ADAPTATION_MS = 250;
-    /** Answers that an adaptation needs. With fewer it waits, for as many intervals as that at most. */
+    /**
+     * Answers that an adaptation of the slots needs. With fewer it waits, for at most the same number of
+     * {@link #SLOT_ADAPTATION_MS} intervals.
+     */
     private static final int MIN_ADAPTATION_SAMPLES = 8;
-    /** Growth of the latency baseline at each adaptation, so that a lasting change is accepted in time. */
+    /**
+     * Factor of the latency baseline at each adaptation, so that a lasting change is accepted after a while.
+     */
     private static final double BASELINE_GROWTH = 1.002;
-    /** Until a class has that many answers, its baseline equals its average. */
+    /** Answers of a class from which on its baseline is kept apart from its average latency. */
     private static final int MIN_BASELINE_SAMPLES = 20;
-    /** From this ratio of latency to baseline on, requests are taken to queue at the hosts. */
+    /** Ratio of latency to baseline beyond which requests are taken to queue at the hosts. */
     private static final double QUEUEING_LATENCY_FACTOR = 1.7;
-    /** Below this share of the latency goal, a raised latency does no harm. */
+    /** Share of the latency goal up to which a raised mean latency does not count as queueing. */
     private static final double HARMLESS_GOAL_SHARE = 0.1;
-    /** From this share of the latency goal on, a mean latency always means queueing. */
+    /** Share of the latency goal beyond which a mean latency always counts as queueing. */
     private static final double QUEUEING_GOAL_SHARE = 0.5;
-    /** From this late value of a class on, an answer after its goal is still worth a slot. */
+    /** Late value of a class from which on its requests may wait for a slot until their deadline. */
     private static final double MIN_LATE_VALUE = 0.5;
-    /** A queued request must have this multiple of its expected latency left. */
+    /** Multiple of its expected latency that a queued request must have left. */
     private static final double FINISH_TIME_FACTOR = 3;
-    /** Any request may be queued for this share of its latency goal. */
+    /** Share of its latency goal for which any request may be queued, within its other time limits. */
     private static final double MIN_HOLD_GOAL_SHARE = 0.1;
     /** Weight of one release in a class's average gap between releases. */
     private static final double RELEASE_GAP_SAMPLE_WEIGHT = 0.1;
     /** Expected latency of the largest request before any answer, as a share of the latency goal. */
     private static final double INITIAL_LATENCY_GOAL_SHARE = 0.2;
-    /** Queued requests that a release examines for one with a permitted host; draws for each host. */
+    /**
+     * Queued requests that a release examines for one with a permitted host. Also the number of random draws,
+     * for each host to be drawn, after which drawing ends.
+     */
     private static final int SCAN_LIMIT = 16;
 
-    // ---- class weights by donation; ALPHA, BETA and EPSILON are the symbols of the published method
+    // ---- class weights by donation; ALPHA, BETA and EPSILON are the symbols of the published method. A
+    // class is content while its mean delay is within the band around its delay goal. A donor gives weight.
 
     /** ALPHA: weight of the old average in a new delay average. */
     private static final double DELAY_SMOOTHING_OLD_WEIGHT = 0.7;
@@ -152,46 +172,49 @@
 
     // ---- host health and choice
 
-    /** Weight of one answer's latency in a host's slowness. */
+    /** Weight of one answer's latency in the slowness of its host. */
     private static final double LATENCY_SAMPLE_WEIGHT = 0.12;
-    /** Weight of a failure or of an overdue attempt in a host's slowness. */
+    /**
+     * Weight of an answer, a failure or an overdue attempt in the slowness of a host for the class, and of a
+     * probe or a rejection by a full host in the slowness of that host.
+     */
     private static final double FAILURE_SAMPLE_WEIGHT = 0.4;
     /** Slowness of a host that reports to be full, and factor for a host that a request has tried. */
     private static final double FULL_HOST_SLOWNESS = 4;
-    /** Share of an attempt's latency. A longer stall of this process hides the host's own latency. */
+    /** Share of an attempt's latency beyond which a stall of this process hides the host's own latency. */
     private static final double MAX_OWN_STALL_SHARE = 0.2;
     /** Time constant with which unconfirmed slowness decays, so that a bad host is tried again. */
     private static final double SLOWNESS_FADE_MS = 6000;
-    /** From this slowness on, a host is slower than chance explains. */
+    /** Slowness from which on a host is slower than chance explains. */
     private static final double TROUBLED_SLOWNESS = 2.2;
     /** An attempt is overdue after this multiple of its expected latency, plus the margin below. */
     private static final double OVERDUE_LATENCY_FACTOR = 5;
     private static final double OVERDUE_MARGIN_MS = 400;
     /** Cost of crossing zones, as a share of the score of an idle host. */
     private static final double CROSS_ZONE_COST_SHARE = 0.05;
-    /** Share that is used of what a cold host may get. The rest is left for bursts. */
+    /** Part used of the requests that a cold host may get. The rest is left for bursts. */
     private static final double COLD_HOST_SAFETY_SHARE = 0.7;
-    /** Lower limit of the estimated share of the usable hosts that serve; less is not believed. */
+    /** Lower limit of the estimated share of the usable hosts that serve; a smaller estimate is raised. */
     private static final double MIN_SERVING_SHARE = 0.5;
     /** Cores that a cold host has at least. The smallest known host has three. */
     private static final double MIN_CORES_PER_HOST = 2;
     /** Hosts that a gateway prefers while they serve; more if a host would get too few gateways. */
     private static final int MIN_PREFERRED_HOSTS = 8;
     private static final int MIN_GATEWAYS_PER_HOST = 6;
-    /** Hosts that are compared at least; more where the own attempts in flight can tell them apart. */
+    /** Hosts that are drawn for a comparison without own attempts in flight; each attempt adds two. */
     private static final int MIN_COMPARED_HOSTS = 2;
     private static final double HOST_SURVEY_INTERVAL_MS = 500;
 
     // ---- retries and deadlines
 
-    /** Further attempts that each first attempt earns. */
+    /** Retry tokens added for the first attempt of each request. */
     private static final double RETRY_TOKENS_PER_REQUEST = 0.2;
     private static final double MAX_RETRY_TOKENS = 20;
-    /** Share that is used of an idempotency window. The rest covers the transit to the host. */
+    /** Part used of an idempotency window. The rest covers the transit to the host. */
     private static final double KEY_WINDOW_SHARE = 0.9;
-    /** A request is answered this long before its deadline: two ticks. */
+    /** Time before its deadline by which a request is answered: two ticks. */
     private static final double DEADLINE_MARGIN_MS = 40;
-    /** A request that has reached no host after this share of its time is refused. */
+    /** Share of its time after which a request that has reached no host is refused. */
     private static final double UNSENT_TIME_SHARE = 0.4;
 
     private final Actions actions;
@@ -218,7 +241,7 @@
     private double broadcastReceivedAt = NEVER; // the last one, from any peer
     private int incarnation; // start time of this process in milliseconds, lowest 32 bits
     private int broadcastsSent;
-    private double ceilingFillsSince; // an earlier incarnation may have spent what had filled before
+    private double ceilingFillsSince; // older ceiling units may be spent by an earlier incarnation
     private double startedAt;
     private double lastTickAt;
     private double totalStallMs; // of this process's event loop
@@ -230,12 +253,12 @@
     private double surveyedAt;
     private double messageBudget; // messages that may be sent now
     private double donationIntervalMs = MIN_DONATION_INTERVAL_MS;
-    private double replacedAt = Double.POSITIVE_INFINITY; // when another process took over this one's place
-    private boolean requestsWaited; // for a slot, since the last check of the weights
+    private double replacedAt = Double.POSITIVE_INFINITY; // when another process of this gateway took over
+    private boolean requestsWaited; // all slots were in use at some time since the last check of the weights
     private int attemptsInFlight; // those that hold a slot
     private int latencySamples; // since the last adaptation of the slots, as are the three sums below
     private double slotsPerHost = INITIAL_SLOTS_PER_HOST; // of all gateways together
-    private double warmCapacity; // usable hosts; cold ones count as the share that they can serve
+    private double warmCapacity; // usable hosts; cold ones count as the share that they serve, slow ones as 0
     private double virtualTime; // of the fair queueing between classes
     private double retryTokens = MAX_RETRY_TOKENS / 2;
     private double latencySumMs;
@@ -336,9 +359,9 @@
                 : customer(now, request.customer(), plan, request.first(), request.spread());
         ActiveRequest active = new ActiveRequest(request, cls, customer);
         activeRequests.put(request.id(), active);
-        // A stall of this process has used up the request's time, so it is refused before it delays others.
-        // This also covers many clients at a slow start. It could hurt where requests are younger than the
-        // stall.
+        // A request whose time was used up before it was read is refused, so that it delays no other: after a
+        // stall of this process or a slow start with many clients. The arrival time is the earliest possible
+        // one, so a request that arrived late during the stall can be refused with time left.
         counters.note(Item.TRIES);
         if (request.arrivedMs() < now && now >= giveUpAt(active)) {
             counters.note(Item.READ_LATE);
@@ -388,7 +411,7 @@
         ActiveRequest active = activeRequests.get(id);
         if (active == null) return;
         active.streaming = true;
-        // The host has done most of the work of a long response by now; what is left is the transfer.
+        // Unless its class streams, a host has done its work when the response begins: the transfer remains.
         boolean known = number >= 0 && number < active.attempts.size();
         if (!known || active.cls.spec.streaming()) return;
         freeSlot(active.attempts.get(number));
@@ -461,7 +484,11 @@
         sendDueMessages(now);
     }
 
-    /** Leases are kept up by messages and their replies, also while there is nothing else to report. */
+    /**
+     * Queues a message to each peer with which a leased ceiling was in use lately and that was sent nothing
+     * for {@link #heartbeatMs}. Messages and their replies extend the leases, even with nothing else to
+     * report.
+     */
     private void queueHeartbeats(double now) {
         for (Peer peer : peers) {
             if (now - peer.ceilingSharedAt < MIN_IDLE_EVICTION_MS && now - peer.lastSentAt >= heartbeatMs) {
@@ -470,7 +497,10 @@
         }
     }
 
-    /** Input that arrived during a stall of this process is read late; no peer or host is blamed for that. */
+    /**
+     * Extends deadlines by a stall of this process. Input that arrived during the stall is read late, and
+     * must not count as a peer's or host's delay.
+     */
     private void recordStall(double now) {
         double late = tickLatenessMs(now);
         lastTickAt = now;
@@ -492,7 +522,10 @@
         return totalStallMs - attempt.stallMsBefore + tickLatenessMs(now);
     }
 
-    /** Peers treat this gateway as a process that has just started: it holds no lease. */
+    /**
+     * Sets a new incarnation number and starts without leases. Peers treat this gateway as a process that has
+     * just started.
+     */
     private void beginIncarnation(double now) {
         incarnation = (int) (long) now;
         double term = LEASE_HEARTBEATS * heartbeatMs;
@@ -506,14 +539,14 @@
     }
 
     @Override public void onReplaced(double now) {
-        customers.values().forEach(c -> refill(now, c)); // what has filled up to here belongs to this process
+        customers.values().forEach(c -> refill(now, c)); // units gained up to now are this process's
         replacedAt = now;
         if (coordinator != null) coordinator.replaced(now);
     }
 
     @Override public void onRestored(double now) {
         beginIncarnation(now); // peers know the other process as the later incarnation
-        customers.values().forEach(c -> refill(now, c)); // what filled meanwhile was the other process's
+        customers.values().forEach(c -> refill(now, c)); // skips the time of the other process
         startedAt += now - replacedAt;
         ceilingFillsSince += now - replacedAt;
         replacedAt = Double.POSITIVE_INFINITY;
@@ -526,7 +559,7 @@
 
     @Override public void onProbeResult(double now, String id, Outcome outcome, double latencyMs,
             double[] report) {
-        HostRecord host = hostsById.get(id); // now is the time of sending, possibly by another gateway
+        HostRecord host = hostsById.get(id); // now can lie in the past: see EngineApi.Events
         if (host != null) {
             host.slowness.updateFromProbe(now, outcome, FULL_HOST_SLOWNESS, FAILURE_SAMPLE_WEIGHT,
                     SLOWNESS_FADE_MS);
@@ -562,8 +595,8 @@
             c.replicas =
                     EngineState.rendezvousRanked(id, firstGateway, c.setSize, peers.length, LEDGER_REPLICAS);
             c.localTokens = p.burst() / c.setSize;
-            // The ceiling's bucket starts with what is known to have filled since the last incarnation of
-            // this gateway ended, never with a burst: that incarnation may have spent it (rule 5).
+            // The ceiling's bucket starts with the units gained since the last incarnation of this gateway
+            // is known to have ended, never with a burst: that incarnation may have spent it (rule 5).
             double filled = (Math.min(now, replacedAt) - ceilingFillsSince) / 1000 * p.ceilingRate();
             c.ceilingTokens = permanentCeilingShare(c) * Math.min(p.ceilingBurst(), filled);
             c.leaseHeldSince = leaseHeldSince(now, c);
@@ -607,14 +640,19 @@
     }
 
     /**
-     * The most that the bucket may hold: the rest of the share is admitted and unsent, or lent and in
-     * transit.
+     * The most units that the ceiling's bucket may hold. The other units of its capacity are admitted and
+     * unsent, or lent and in transit.
      */
     private double ceilingRoom(double now, Customer c) {
         return ceilingCapacity(c) - c.unsentCeilingUnits - c.transfers.lent(now);
     }
 
-    /** Only the holder of a share spends it. Units that a holder saved are lost when it loses the lease. */
+    /**
+     * Refills this gateway's part of the ceiling up to now. Only the holder of a leased share spends it. If
+     * the lease was lost since the last refill, the whole time counts with the permanent share alone, and
+     * saved units beyond that share are lost. If it was gained, the time before that counts with the
+     * permanent share.
+     */
     private void refillCeiling(double now, Customer c) {
         int other = leasePeer(c);
         if (other >= 0) peers[other].ceilingSharedAt = now;
@@ -629,7 +667,10 @@
         addCeilingFill(c, now - from);
     }
 
-    /** Units admitted but not sent yet still count as in the bucket, which must not overfill (rule 5). */
+    /**
+     * Adds the units of a time to the ceiling's bucket. Units that are admitted but not sent yet still take
+     * room in it, so that it does not overfill (rule 5).
+     */
     private void addCeilingFill(Customer c, double ms) {
         double filled = c.ceilingTokens + c.plan.ceilingRate() / 1000 * ceilingShare(c) * ms;
         c.ceilingTokens = Math.min(ceilingRoom(c.refilledAt, c), filled);
@@ -640,7 +681,7 @@
         double seconds = (now - c.refilledAt) / 1000;
         if (seconds <= 0) return;
         if (now > replacedAt) {
-            // What fills now belongs to the other process. The end of a lease still takes its units.
+            // No units are added any more. The call only removes leased units once the lease has ended.
             c.refilledAt = now;
             refillCeiling(now, c);
             return;
@@ -658,7 +699,10 @@
         c.localTokens = Math.min(capacity, c.localTokens + share * p.rate() * seconds);
     }
 
-    /** This gateway's share of a customer's demand; the shares by one replica's report sum to one. */
+    /**
+     * This gateway's share of a customer's demand. The shares that all gateways compute from the reports of
+     * the same replica sum to one.
+     */
     private double demandShare(double now, Customer c) {
         if (c.setSize <= 1) return c.setSize;
         if (gossip != null && now - broadcastReceivedAt > STALE_REPORT_MS) return 1.0 / c.setSize;
@@ -720,7 +764,9 @@
     }
 
     /**
-     * Units that the others may have used since the last report, weighed by the cost of exceeding the quota.
+     * Units that the others may have used since the last report, weighted by the cost of exceeding the quota.
+     * The weight is 0 if a unit of excess costs as much as it is worth, 1 if it costs one unit of value more,
+     * and always below 2. The age of broadcasts counts as half of their mean interval.
      */
     private double reserve(double now, Customer c) {
         double cost = c.plan.excessCost() - c.plan.excessValue();
@@ -750,7 +796,10 @@
     // ---- admission queries to ledger replicas
 
     /**
-     * Holds a request for the reply of the next replica that may know; without one the even share decides.
+     * Queries the next replica that can be reached, and holds the request until its reply. The request is
+     * decided here if there is no such replica (by this gateway's own share of the quota), or if this gateway
+     * is that replica or the deadline is too near (by the bucket level known here). Own units of the ceiling
+     * are needed in both cases.
      */
     private void queryReplica(double now, ActiveRequest active, int stage) {
         Customer c = active.customer;
@@ -799,7 +848,8 @@
     // ---- messages between gateways
 
     /**
-     * Queues a report of a change to the acting replica; as that replica, reports to the others now and then.
+     * Queues a report of a change to the acting replica. If this gateway is that replica, queues reports to
+     * the other ones, {@link #REPLICA_SYNC_MS} apart or more.
      */
     private void queueChange(double now, Customer c) {
         if (!settings.limits().peers() || c.setSize == 1
@@ -822,8 +872,8 @@
     }
 
     /**
-     * Reports may use half of the message budget, since each brings a reply; replies only keep the minimum
-     * gap.
+     * Sends the queued messages that are due. Messages of reports alone may use half of the message budget,
+     * since each brings a reply. Messages with replies only keep the minimum gap.
      */
     private void sendDueMessages(double now) {
         if (gossip != null && gossip.due(now, !transferRequests.isEmpty())) broadcastUsage(now);
@@ -850,7 +900,8 @@
     }
 
     /**
-     * Where queries would take too long, all gateways get all use reported, and each admits by its own view.
+     * Broadcasts the use of changed customers, with requests and grants of ceiling units. In a tier where
+     * queries would take too long, each gateway admits by the use that all gateways broadcast.
      */
     private void broadcastUsage(double now) {
         int count = UsageMessage.word(++broadcastsSent);
@@ -930,15 +981,15 @@
         }
     }
 
-    /** Takes over what a broadcast reports as used, and the ceiling units that it asks for or grants. */
+    /** Deducts the use that a broadcast reports, and processes its requests and grants of ceiling units. */
     private void handleUsageMessage(double now, Peer peer, UsageMessage m) {
         if (!peer.accepts(now, m.life(), m.count())) return;
         broadcastReceivedAt = peer.lastBroadcastAt = now;
         for (UsageMessage.Entry e : m.entries()) {
             Customer c = customer(now, e.customer(), e.plan(), 0, 0);
             if (c == null || c.planNumber != e.plan()) continue;
-            // What a peer used in an incarnation that began before this one was taken from the bucket level
-            // that the peer reports, so the level is adopted instead of the use.
+            // A peer that started before this process reports a level from which its earlier use is already
+            // deducted. In its first report the level is adopted, and the use is not deducted again.
             PeerUsage usage = c.usageOf(peer);
             boolean adopts = !usage.known && now - startedAt < MIN_IDLE_EVICTION_MS
                     && m.life() - incarnation < 0;
@@ -975,7 +1026,8 @@
     }
 
     /**
-     * A report to a ledger replica on one customer, with a query for the requests that wait for its reply.
+     * A report to a ledger replica on one customer, with a query for the units of all pending requests of the
+     * customer, including those that wait for another replica.
      */
     private LedgerMessage.Entry reportEntry(double now, Customer c, Peer replica) {
         for (ActiveRequest a : c.pending) {
@@ -1032,10 +1084,11 @@
      * the bucket holds them.
      *
      * <p>The peer's bucket level is adopted if the peer is the acting replica, or if this process does not
-     * know the history and the peer has a fresh level. The units that a peer returns are limited to what was
-     * granted to it or is open: a total that falls further was reset, since the peer has evicted the
-     * customer, and would fill the bucket. Ceiling units are deducted here before they are sent, so a lost
-     * message loses units.
+     * know the history and the peer has a fresh level. If the peer's total of used units has fallen, units
+     * are returned to the bucket, but at most those granted to the peer last and, for each request that it
+     * had open at its last report, the largest request's units. A total that falls further shows that the
+     * peer evicted the customer and counts from zero again; returning all of that would fill the bucket.
+     * Ceiling units are deducted here before they are sent, so a lost message loses units.
      */
     private void handleReport(double now, Peer peer, LedgerMessage.Entry e) {
         int place = Math.floorMod(peer.number - e.first(), peers.length);
@@ -1080,8 +1133,8 @@
 
     /**
      * Processes a replica's reply: the bucket level, the others' demand, and the granted part of the wanted
-     * units. If the plans differ, one of the two gateways was given a wrong plan, and nothing is granted. The
-     * primary did not book what another replica granted, so it gets a report then.
+     * units. If the plans differ, one of the two gateways was given a wrong plan, and nothing is granted.
+     * Units that another replica granted are not booked by the primary, so the primary then gets a report.
      */
     private void handleReply(double now, Peer peer, LedgerMessage.Entry e, int mySerial, boolean current) {
         Customer c = customers.get(e.customer());
@@ -1192,7 +1245,8 @@
     }
 
     /**
-     * When a queued request must be sent or answered: before its deadline (rule 1) and while that is useful.
+     * The time by which a queued request must be sent or answered: before its deadline (rule 1), and while an
+     * answer is useful.
      */
     private double giveUpAt(ActiveRequest active) {
         double end = active.request.deadlineMs() - DEADLINE_MARGIN_MS;
@@ -1282,7 +1336,7 @@
 
     // ---- class weights by donation
 
-    /** The mean delay, in milliseconds, at which a class is content. */
+    /** A class's goal for its mean delay, in milliseconds. */
     static double delayGoal(ClassState c) {
         return c.spec.aimMs() * DELAY_GOAL_SHARE;
     }
@@ -1325,9 +1379,10 @@
     }
 
     /**
-     * Moves weight to the class that exceeds its delay goal most, from classes below theirs in proportion to
-     * their surplus. Each donation is clamped so that the donor stays content; the sum of the weights stays
-     * the same. If no class exceeds its goal or none has a surplus, the weights stay as they are.
+     * Moves weight to the class that exceeds its delay goal most, from classes with delays below their goals,
+     * in proportion to their surplus. Each donation is clamped so that the donor's expected delay stays at or
+     * below the lower end of its content band; the sum of the weights stays the same. If no class exceeds its
+     * goal or none has a surplus, the weights stay as they are.
      *
      * @return whether any weight was moved
      */
@@ -1370,6 +1425,13 @@
 
     // ---- hosts
 
+    /**
+     * {@inheritDoc}
+     *
+     * <p>{@code open} counts open requests, {@code out} attempts that hold a slot, and {@code places} the
+     * slots of this gateway; {@code hosts} counts usable hosts, {@code cold} those that warm up, and
+     * {@code avoided} the hosts of {@link #avoidedHostCount}.
+     */
     @Override public String takeActivityLine(double now) {
         long cold = usableHosts.stream().filter(h -> warmth(h, now) < 1).count();
         return counters.take() + " open=" + activeRequests.size() + " out=" + attemptsInFlight
@@ -1423,9 +1485,10 @@
     }
 
     /**
-     * Chooses the best of a few hosts drawn at random; null if none may be used. Many gateways that all took
-     * the best host by their few own counts would all take the same one. So hosts are drawn, as many as the
-     * own attempts in flight can tell apart; if that is all preferred hosts, all are compared.
+     * Chooses the best of a few hosts drawn at random; null if none may be used. Each gateway knows only its
+     * own attempts in flight. If all gateways compared all hosts by these few counts, they would choose the
+     * same host. So {@link #MIN_COMPARED_HOSTS} hosts are drawn, and two more for each own attempt in flight;
+     * if that makes all preferred hosts, all of them are compared.
      */
     private HostRecord chooseHost(double now, ActiveRequest active) {
         int draws = Math.min(preferredHosts.size(), MIN_COMPARED_HOSTS + 2 * attemptsInFlight);
@@ -1434,7 +1497,7 @@
         return best != null ? best : bestHost(now, active, usableHosts, usableHosts.size());
     }
 
-    /** Whether the own attempts in flight are enough to tell all preferred hosts apart. */
+    /** Whether there are enough own attempts in flight for a comparison of all preferred hosts. */
     private boolean comparesAll() {
         return MIN_COMPARED_HOSTS + 2 * attemptsInFlight >= preferredHosts.size();
     }
@@ -1452,7 +1515,8 @@
     private HostRecord bestHost(double now, ActiveRequest active, Collection<HostRecord> drawn, int draws) {
         HostRecord best = null;
         double bestScore = Double.MAX_VALUE;
-        // Requests go to the hosts that serve, so a cold host's part is one of that number.
+        // About {@code serving} of the compared hosts take requests, so a host's even chance is 1 / serving.
+        // A cold host takes part with {@code share} of that chance.
         double serving = draws * Math.max(MIN_SERVING_SHARE, warmCapacity / Math.max(1, usableHosts.size()));
         for (HostRecord host : drawn) {
             if (!host.acceptsRequests() || !mayRunOn(now, active, active.firstPossiblyRun(), host)) continue;
@@ -1460,7 +1524,8 @@
             // may win (rule 4).
             double warmth = warmth(host, now);
             double share = COLD_HOST_SAFETY_SHARE * settings.rules().fallMultiple() * warmth;
-            // The comparison of all usable hosts is the second one: a cold host had its chance in the first.
+            // Before any attempt may have run, a comparison of all usable hosts is the second one of this
+            // request: the cold hosts were considered in the first.
             boolean hadChance = drawn == usableHosts && active.firstPossiblyRun() == null;
             boolean skipped = warmth < 1 && (hadChance || random.nextDouble() * serving > share);
             if (skipped && !mayTryOne(active, host, warmth)) continue;
@@ -1473,9 +1538,10 @@
 
     /**
      * Whether a cold host may get one request beyond its random share. Where nearly all hosts are cold,
-     * chance alone would leave them idle and the few warm ones at four times their usual latency. One request
-     * of each gateway at a time cannot overload a host: it gets no more than it finishes, and beyond that at
-     * most what all gateways have there, which must fit what rule 4 allows beyond the host's capacity.
+     * chance alone would leave them idle, and the few warm ones would take four times their usual latency.
+     * One request of each gateway at a time cannot overload a host: a gateway sends the next one only when
+     * the host has finished the last one, so beyond the work that it finishes the host has at most one
+     * request of each gateway. This work must fit into what rule 4 allows beyond the host's capacity.
      */
     private boolean mayTryOne(ActiveRequest active, HostRecord host, double warmth) {
         double allowed = (settings.rules().fallMultiple() - 1) * warmth * MIN_CORES_PER_HOST
@@ -1485,7 +1551,7 @@
     }
 
     /**
-     * Expected time to serve the request at a host, raised by doubts about the host; the lowest is the best.
+     * Expected time to serve the request at a host, raised by the host's slowness; the lowest is the best.
      */
     private double score(double now, ActiveRequest active, HostRecord host) {
         double doubt = slowness(now, host, active.cls);
@@ -1493,11 +1559,12 @@
         for (Attempt a : active.attempts) {
             if (a.host == host) doubt *= FULL_HOST_SLOWNESS;
         }
-        // The own zone is preferred only where the own counts show its load. Otherwise all gateways would
-        // send to an overloaded zone.
+        // The own zone is preferred only if the own attempts in flight are enough to show its load. Otherwise
+        // all gateways would send to an overloaded zone.
         double zone = !comparesAll() || host.info.zone().equals(settings.zone()) ? 0
                 : CROSS_ZONE_COST_SHARE * active.expectedMs();
-        // With more usable than preferred hosts a cold host is compared less often already.
+        // If not all usable hosts are preferred, only some gateways prefer a given cold host, so it is
+        // already compared less often than if all did. Its score is not raised as well.
         double warmth = preferredHosts.size() < usableHosts.size() ? 1 : warmth(host, now);
         return (active.expectedMs() + host.workInFlightMs) * doubt / warmth + zone;
     }
@@ -1526,11 +1593,11 @@
     /**
      * Updates latencies and host health from an attempt's end.
      *
-     * <p>What arrived during a stall of this process was read late, so its latency says nothing about the
-     * host. After a failed connection the host, down or full, is avoided at once. A host that is full without
-     * an attempt of this gateway is avoided at once as well: the load is not of this gateway's making, since
-     * the host drains or other gateways fill it. As an idle host it would win each comparison, and each
-     * gateway of a large tier learns this for itself.
+     * <p>An answer that arrived during a stall of this process was read late, so its latency says nothing
+     * about the host. After a failed connection the host, down or full, is avoided at once. A host that
+     * rejects as full without another attempt of this gateway is avoided at once as well: the load is not
+     * this gateway's, since the host drains or other gateways fill it. Without own attempts it would win each
+     * comparison, and each gateway of a large tier has to find out by itself.
      */
     private void learn(double now, ActiveRequest active, Attempt attempt, AttemptResult result) {
         HostRecord host = attempt.host;
@@ -1554,7 +1621,7 @@
             }
             case CONNECT_FAILED -> host.slowness.update(now, MAX_SLOWNESS, 1, SLOWNESS_FADE_MS);
             case FULL -> {
-                boolean idle = host.attempts.isEmpty();
+                boolean idle = host.attempts.isEmpty(); // this gateway has no other attempt there
                 host.slowness.update(now, idle ? MAX_SLOWNESS : FULL_HOST_SLOWNESS,
                         idle ? 1 : FAILURE_SAMPLE_WEIGHT, SLOWNESS_FADE_MS);
             }
--- a/gateway/src/main/java/marlford/gateway/EngineApi.java
+++ b/gateway/src/main/java/marlford/gateway/EngineApi.java
@@ -31,9 +31,29 @@
      */
     public enum ListKind { CHANGES, FULL, CACHED, FAILED }
 
-    /** How an attempt, a probe or a counter call ended. SPOILT: an answer arrived that cannot be parsed. */
+    /** How an attempt, a probe or a counter call ended. */
     public enum Outcome {
-        OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT, SPOILT,
+        /** The host has answered. */
+        OK,
+        /** The host has answered with an error. */
+        ERROR,
+        /** The host has rejected the request because it is full. It has not run the request. */
+        FULL,
+        /** No answer arrived in time. The host may have run the request. */
+        TIMEOUT,
+        /** The request did not reach the host completely, so the host has not run it. */
+        CONNECT_FAILED,
+        /** The connection was lost after the request was sent. The host may have run the request. */
+        RESET,
+        /** The attempt was cancelled. The host may have run the request. */
+        CANCELLED,
+        /**
+         * The attempt was not sent, since it was pointless or not permitted: for example the request is closed or its
+         * deadline has passed.
+         */
+        MOOT,
+        /** An answer arrived that cannot be parsed. The host has run the request. */
+        SPOILT,
         /** Not sent for reasons of this gateway's machine. It says nothing about the host. */
         UNSENT;
 
@@ -50,8 +70,9 @@
      * @param windowMs how long hosts remember an idempotency key
      * @param aimMs latency goal
      * @param deadlineMs hard limit of the time to answer
-     * @param worth value of an answer within the goal
-     * @param lateValue value of an answer after the goal
+     * @param worth value of an answer within the goal; the first weights of the classes follow it
+     * @param lateValue value of an answer after the goal; the engine only decides by it whether requests may wait beyond
+     *     their goal
      * @param streaming responses are long, and their hosts work until the last byte
      */
     public record RequestClass(String name, Effect effect, Scope scope, double windowMs, double aimMs,
@@ -63,12 +84,12 @@
      * @param rate quota, in units per second
      * @param burst size of the quota's token bucket, in units
      * @param openLimit open requests at a time
-     * @param price factor of the value of the plan's requests
-     * @param excessValue value of use beyond the quota
-     * @param excessCost cost of use beyond the quota
+     * @param price factor of the value of the plan's requests; the engine does not use it
+     * @param excessValue value of one unit used beyond the quota
+     * @param excessCost cost of one unit used beyond the quota, on the same scale
      * @param ceilingRate ceiling that is never exceeded, in units per second
      * @param ceilingBurst size of the ceiling's token bucket, in units
-     * @param ceilingSlack tolerance, in units, when use is compared with the ceiling
+     * @param ceilingSlack tolerance, in units, when use is compared with the ceiling; the engine does not use it
      */
     public record Plan(String name, double rate, double burst, int openLimit, double price, double excessValue,
             double excessCost, double ceilingRate, double ceilingBurst, double ceilingSlack) {
@@ -86,7 +107,8 @@
      * @param cancel attempts can be cancelled
      * @param probes hosts can be probed
      * @param peers gateways can send messages to each other
-     * @param retryAfter a refusal can name a time after which a retry is welcome
+     * @param retryAfter a refusal can name a time after which the client may retry
+     * @param maxRetryAfterMs upper limit of that time
      */
     public record Limits(int maxAttempts, boolean duplicates, boolean cancel, boolean probes, boolean peers,
             boolean retryAfter, double maxRetryAfterMs) { }
@@ -100,18 +122,18 @@
      * @param fallMs window over which that is counted
      * @param coldFrom share of its capacity that a host has right after its start
      * @param warmWithinMs time from its start until a host has its full capacity
-     * @param askWithinMs as set; the engine does not use it
+     * @param askWithinMs the setting {@code rules.ask_within_ms}; this process only stores it
      */
     public record Rules(double answerSlackMs, double drainGraceMs, double fallMultiple, double fallMs,
             double coldFrom, double warmWithinMs, double askWithinMs) { }
 
     /**
-     * How gateways can share what they know, and what that costs.
+     * How gateways can share what they know, and what that costs. The engine uses no prices.
      *
      * @param counter a shared counter is available, at {@code counterPrice} for each call
      * @param meterPeriodMs period of the usage meter
      * @param postPaid the units of a request are known only from its answer
-     * @param maxUnits of one request
+     * @param maxUnits units of the largest request
      * @param mailPerSecond messages that a gateway accepts per second
      * @param peerPrice cost of a message between gateways
      * @param probePrice cost of a probe
@@ -149,7 +171,8 @@
      *
      * @param retry the client has sent the request before
      * @param units of the customer's quota that the request uses
-     * @param bodyTimeMs how long the rest of its body may take, while it is sent on to the host, before its time counts
+     * @param bodyTimeMs time in milliseconds that the client may take for the rest of the body, which is sent on to the host
+     *     as it arrives; 0 if the request was received completely. The engine gives attempts a slot only for 0.
      */
     public record Request(String id, double deadlineMs, double arrivedMs, boolean retry, String requestClass, long customer,
             String plan, double units, int first, int spread, double bodyTimeMs) {
@@ -193,7 +216,11 @@
         /** A timer set by {@link Actions#startTimer} has expired. */
         void onTimer(double now, String token);
 
-        /** A probe has ended; {@code now} is when it was sent, by this gateway or another. */
+        /**
+         * A probe has ended. For a probe of this gateway {@code now} is when the result arrived. For a result that was
+         * reported by another part of the process, {@code now} is the present time less the age of the result, so it can
+         * be before earlier events. A result that is older than the host's newest sample is ignored.
+         */
         void onProbeResult(double now, String host, Outcome outcome, double latencyMs, double[] report);
 
         /** A message of another gateway has arrived. */
@@ -209,23 +236,24 @@
         default void onNoOtherSpenderSince(double now, double since) { }
 
         /**
-         * Another process has taken over this one's place. What fills from now on belongs to that process, and no peer
-         * message arrives here. Requests that are open here or still arrive are decided by what was saved.
+         * Another process has taken over from this one. Units that buckets gain from now on belong to that process, and no
+         * peer message arrives here. Requests that are open here or still arrive are decided by the units left in the
+         * buckets.
          */
         default void onReplaced(double now) { }
 
-        /** The other process has ended, and what filled meanwhile is lost with it. */
+        /** The other process has ended. The units that buckets gained since {@link #onReplaced} are lost. */
         default void onRestored(double now) { }
 
-        /** This gateway ends within some hundred milliseconds; peers should turn to other gateways. */
+        /** This gateway ends within some hundred milliseconds; peers should use other gateways instead. */
         default void onShutdown(double now) { }
 
-        /** One log line: what the engine did since the last call, by cause, and what is open now. */
+        /** One log line: counts of what the engine did since the last call, by cause, and the present state. */
         default String takeActivityLine(double now) {
             return "";
         }
 
-        /** How many listed hosts get no requests now, or as few as possible. The call changes nothing. */
+        /** The number of listed hosts that get no requests now, or as few as possible. Changes nothing. */
         default int avoidedHostCount(double now) {
             return 0;
         }
@@ -238,7 +266,10 @@
 
         void cancel(String id, int attempt);
 
-        /** Answers a request that was not served and may be retried; 0 names no time for that. */
+        /**
+         * Answers a request that was not served and may be retried. With {@code retryAfterMs} 0 the answer names no time for
+         * the retry.
+         */
         void refuse(String id, double retryAfterMs);
 
         /** Answers a request that was not served and may have run. */
--- a/gateway/src/main/java/marlford/gateway/EngineState.java
+++ b/gateway/src/main/java/marlford/gateway/EngineState.java
@@ -30,7 +30,12 @@
     static final int ALL_PEERS = -1;
     /** Upper limit of a slowness factor; larger measured ratios are clamped to it. */
     static final double MAX_SLOWNESS = 12;
-    /** Shortest time without requests after which a customer's state may be evicted. */
+    /**
+     * Shortest time without requests after which a customer's state may be evicted. The engine uses it for three
+     * more times: the retry time of a refusal of a request without customer state; how long heartbeats go on
+     * after the last use of a leased ceiling; and how long after its start it adopts bucket levels that peers
+     * broadcast.
+     */
     static final double MIN_IDLE_EVICTION_MS = 20_000;
     private static final double EVICTION_REFILL_MULTIPLE = 2; // of the time in which the slowest bucket fills from empty
 
@@ -99,7 +104,11 @@
             this.spec = spec;
         }
 
-        /** Adds queueing time or latency. Latency 0 marks a request's release, which counts the request once. */
+        /**
+         * Adds queueing time or latency to the interval's sum. A call with latency 0 also counts a request. That
+         * happens when a request is first sent and when it expires in the queue, so a request that was queued again
+         * after an attempt and then expires is counted twice.
+         */
         void recordDelay(double queuedMs, double latencyMs) {
             intervalDelaySumMs += queuedMs + latencyMs;
             intervalRequests += latencyMs > 0 ? 0 : 1;
@@ -293,8 +302,10 @@
 
         /**
          * Averages in a probe result of this gateway or of another, unless a newer sample has arrived. An unreachable host
-         * counts as {@link #MAX_SLOWNESS}, one that is late or fails as {@code lateRatio}; a good probe has the weight of
-         * one answer.
+         * counts as {@link #MAX_SLOWNESS}, one that is late or fails as {@code lateRatio}. Every probe result has the
+         * given weight.
+         *
+         * @param sentAt time of the result, as {@link EngineApi.Events#onProbeResult} defines it
          */
         void updateFromProbe(double sentAt, Outcome outcome, double lateRatio, double sampleWeight, double fadeMs) {
             if (sentAt > updatedAt && outcome != Outcome.UNSENT) {
--- a/gateway/src/main/java/marlford/gateway/guard/ClientProgress.java
+++ b/gateway/src/main/java/marlford/gateway/guard/ClientProgress.java
@@ -8,22 +8,25 @@
  * <p>Pure: no clock and no I/O. Times are milliseconds on the caller's clock.
  */
 public final class ClientProgress {
-    /** A stalled client gets an error or a close within this time. */
+    /**
+     * A stalled client gets an error or a close within this time, unless it leaves a single answer unread: then after
+     * {@link #LAST_OUTPUT_TIMEOUT_MS}.
+     */
     public static final double OWED_MS = 3000;
 
     private static final double FIRST_REQUEST_TIMEOUT_MS = 2000; // from the connection's start
-    private static final double HEAD_TIMEOUT_MS = 2500; // from its first byte; a client may take 2000
+    private static final double HEAD_TIMEOUT_MS = 2500; // from its first byte: the 2000 that a client may take, and a margin
     private static final double BODY_PAUSE_TIMEOUT_MS = 2500; // between two parts of a body
     private static final double RESUMED_READ_TIMEOUT_MS = 1000; // for the next part, once reading has resumed after a pause
     /**
-     * Time without progress that is charged to a client which was waiting for this gateway; it leaves
-     * {@link #RESUMED_READ_TIMEOUT_MS} of the limit.
+     * Time without progress that is counted for a client when this gateway reads its body again after a pause. Of the limit
+     * for a pause it leaves {@link #RESUMED_READ_TIMEOUT_MS}.
      */
     public static final double WAITED_MS = BODY_PAUSE_TIMEOUT_MS - RESUMED_READ_TIMEOUT_MS;
     private static final double BODY_RATE_GRACE_MS = 3500; // from the request's start, before its mean rate is checked
     private static final double MIN_BODY_BYTES_PER_MS = 16; // mean rate
-    private static final double OUTPUT_TIMEOUT_MS = 2500; // for unread answers with more input of the client behind them
-    private static final double LAST_OUTPUT_TIMEOUT_MS = 5000; // for one unread answer with no input behind it
+    private static final double OUTPUT_TIMEOUT_MS = 2500; // for unread output, except a single unread answer
+    private static final double LAST_OUTPUT_TIMEOUT_MS = 5000; // for one unread answer on an open connection without further input
 
     private ClientProgress() { }
 
@@ -36,7 +39,7 @@
      * @param part the unfinished part
      * @param sinceMs when the first byte of the unfinished request was received
      * @param readMs when something of it was last received
-     * @param unreadMs how long that may have been unread in its socket before
+     * @param unreadMs the longest time that the input read last may have waited in its socket before it was read
      * @param bodyBytes bytes of its body received so far
      * @param drained whether everything that has reached this machine was read, so that the client has not sent what is missing
      */
@@ -90,7 +93,10 @@
                 || sinceStart > BODY_RATE_GRACE_MS + input.bodyBytes() / MIN_BODY_BYTES_PER_MS;
     }
 
-    /** How long a stalled client has made no progress, in milliseconds; should be below {@link #OWED_MS}. */
+    /**
+     * How long a stalled client has made no progress, in milliseconds. It should be below {@link #OWED_MS}, except for a
+     * single unread answer.
+     */
     public static double stoppedMs(double now, Stopped how, Connection c) {
         if (how == Stopped.READING) {
             return now - c.outputProgressMs();
--- a/gateway/src/main/java/marlford/gateway/guard/RuleCounter.java
+++ b/gateway/src/main/java/marlford/gateway/guard/RuleCounter.java
@@ -17,7 +17,8 @@
     }
 
     /**
-     * Counts a breach if the connection of a stalled client was ended too late.
+     * Counts a breach if the connection of a stalled client was ended later than {@link ClientProgress#OWED_MS}. This includes
+     * clients that left a single answer unread, although their timeout is longer than that.
      *
      * @param stoppedMs how long the client had made no progress when its connection was ended, in milliseconds
      */
--- a/gateway/src/main/java/marlford/gateway/list/PollingBackoff.java
+++ b/gateway/src/main/java/marlford/gateway/list/PollingBackoff.java
@@ -4,20 +4,21 @@
 
 /**
  * Decides when one gateway calls discovery, a service of fixed capacity for the whole tier that rejects calls while its
- * queue is long. For a gateway that calls alone it is best to call again immediately after each answer and to time out
- * early. If all gateways do so, each change makes all of them call again, the queue grows, discovery still works on calls
- * that have timed out, and no gateway gets an answer.
+ * queue is long. The address that is called is an agent: either the service itself, or a process that receives changes by
+ * itself and answers at once. For a gateway that calls alone it is best to call again immediately after each answer and
+ * to time out early. If all gateways do so, each change makes all of them call again, the queue grows, discovery still
+ * works on calls that have timed out, and no gateway gets an answer.
  *
  * <p>Therefore there are two modes. While no call is rejected, calls follow each other immediately and a failed one is
- * repeated soon. From the first rejection on the gateway throttles itself: the mean wait doubles with each rejection, up to
- * {@value #MAX_MEAN_WAIT_MS} ms, and shrinks by three tenths with each answer, as in congestion control. Each wait is
+ * repeated soon. From the first rejection on the gateway throttles itself: the mean wait doubles with each rejection, up
+ * to {@value #MAX_MEAN_WAIT_MS} ms, and shrinks by three tenths with each answer, as in congestion control. Each wait is
  * drawn at random around the mean, since gateways that were rejected together would otherwise return together.
  *
  * <p><b>The deadline.</b> A gateway has to know a change {@value #CHANGE_KNOWN_MS} ms after discovery had it and was
- * reachable, whatever happened to earlier calls. The latest moment up to which this gateway can't have missed a change is
- * the start of its last call, or an answer to it. The next call therefore begins at most {@value #MAX_CALL_GAP_MS} ms after
- * that moment, which leaves the rest for the call itself: no backoff, no wait for a shared fetch and no unanswered long poll
- * lasts longer.
+ * reachable, whatever happened to earlier calls. The time counts from the start of the last call, or from its answer or
+ * rejection: up to then each change was received, or discovery counts as not reachable. The next call therefore begins at
+ * most {@value #MAX_CALL_GAP_MS} ms after that moment, which leaves the rest for the call itself: no backoff, no wait for
+ * a shared fetch and no unanswered long poll lasts longer.
  *
  * <p>A long poll is a call that discovery may hold until there is a change.
  *
@@ -28,12 +29,14 @@
     static final long CHANGE_KNOWN_MS = 6000; // required by the platform
     static final long MAX_CONNECT_MS = 1000; // timeout of a connection to an agent
     static final long LIST_ANSWER_MS = 500; // allowance for the answer with a list on an open connection
-    static final long MAX_CALL_GAP_MS = CHANGE_KNOWN_MS - MAX_CONNECT_MS - LIST_ANSWER_MS; // from one call's start to the next
-    private static final long FIRST_RETRY_MS = 50; // wait after the first of several failed calls; a long poll lasts at least 200
+    /** Time from the last call's start, answer or rejection, whichever is last, to the start of the next call. */
+    static final long MAX_CALL_GAP_MS = CHANGE_KNOWN_MS - MAX_CONNECT_MS - LIST_ANSWER_MS;
+    /** Wait after the first of several failed calls; also the time that the timeout of a long poll leaves for a retry. */
+    private static final long FIRST_RETRY_MS = 50;
     /** Timeout of a long poll that has no earlier call to count from, in milliseconds after its start. */
     public static final long WATCH_MS = MAX_CALL_GAP_MS - FIRST_RETRY_MS;
     static final long MIN_WAIT_MS = 25; // shortest wait before a call that is already due
-    static final double MAX_MEAN_WAIT_MS = 3000; // a drawn wait may be half as long again
+    static final double MAX_MEAN_WAIT_MS = 3000; // a drawn wait may be one and a half times as long
     private static final double FIRST_REJECTION_MEAN_WAIT_MS = 500;
     private static final double MIN_MEAN_WAIT_MS = 200; // below it calls follow each other without a wait
     private static final double ANSWER_WAIT_FACTOR = 0.7;
@@ -53,7 +56,7 @@
     private double meanWaitMs;
     private int failures; // in a row
     private int unusableAnswers; // in a row
-    private double upToDateAtMs; // no change that discovery had by this time was missed
+    private double upToDateAtMs; // start, answer or rejection of the last call, whichever is last
 
     /**
      * @param graceMs the drain grace of the settings, in milliseconds: how long after the report of its drain a host may
@@ -115,7 +118,7 @@
 
     /**
      * Records that a long poll got no answer within its timeout; returns the wait before the next call, in milliseconds. The
-     * call was not rejected, and a change that it missed has to be known soon, so throttling does not extend the wait.
+     * call was not rejected, and a change that was not received has to be known soon, so throttling does not extend the wait.
      */
     public long fellSilent() {
         failures++;
@@ -132,7 +135,7 @@
         return Math.min(MAX_CONNECT_MS, answerTimeoutMs);
     }
 
-    /** Resets the state, since another address is called from now on. */
+    /** Resets failures and throttling, since another agent is called from now on. */
     public void moved() {
         failures = 0;
         unusableAnswers = 0;
--- a/gateway/src/main/java/marlford/gateway/quota/LeaseLedger.java
+++ b/gateway/src/main/java/marlford/gateway/quota/LeaseLedger.java
@@ -5,45 +5,50 @@
 
 /**
  * The owner's side of the leases on one bucket: which units were granted to which holder and may not have been spent yet.
+ * Owner means the gateway that grants units, holder the gateway that leases them. (In
+ * {@link marlford.gateway.lease.TwoPartyLeases} the holder is the gateway to which a resource belongs.)
  *
- * <p><b>Why a strict lease adds nothing to a bucket.</b> Let S be the true bucket, K the owner's own level and L the sum of
+ * <p><b>Why a strict lease adds nothing to a bucket.</b> Leases of ceiling units are strict: the owner grants no more than it
+ * has itself. Quota leases are not: {@link QuotaLedger} may overrun a quota by up to {@link QuotaLedger#OVERCOMMIT_SHARE} of
+ * the burst while units are leased. Let S be the true bucket, K the owner's own level and L the sum of
  * {@link #outstanding}. Claim: K + L never exceeds S, so neither the owner nor a holder ever spends what S does not
  * contain.
  * <ul>
  * <li>A grant moves units from K to L.
- * <li>A unit that is spent leaves S. It leaves L no sooner: either a later request of its holder no longer lists it as held
+ * <li>A unit that is spent leaves S. It leaves L no sooner: either a later lease request of its holder no longer lists it as held
  * (the holder lists what it may still spend, and ceiling units until they have reached their host), or the term ends.
- * <li>A unit that is returned moves from L to K. Its holder gave it up before it reported so, and each request is settled
- * once.
- * <li>A holder spends until {@link #HOLDER_TERM_MS} after it <em>sent the request</em>; the owner counts until
+ * <li>A unit that is returned moves from L to K. Its holder gave it up before it reported so, and each lease request is
+ * settled once.
+ * <li>A holder spends until {@link #HOLDER_TERM_MS} after it <em>sent the lease request</em>; the owner counts until
  * {@link #OWNER_TERM_MS} after it <em>granted</em>, which is later and longer. So units that are no longer counted anywhere cannot
  * be spent, and the clocks need not agree.
  * <li>S fills at its rate up to its burst, K at no more than that rate up to its burst <em>less L</em>.
  * </ul>
- * A request renews the whole lease. The owner counts the units held and the new ones until the end of the new term. The
+ * A lease request renews the whole lease. The owner counts the units held and the new ones until the end of the new term. The
  * holder spends them until its own new end if the grant arrived, and until the old end, which is sooner, if it did not. A
- * holder has one request open and accepts no grant but the one for that request, so that the units it lists are all there
- * are. A repeated request is answered as before and moves nothing; a request older than the last one is answered with zero
- * units. The next incarnation of a holder has an entry of its own: the units of the former incarnation count until their
+ * holder has one lease request open and accepts no grant but the one for that request, so that the units it lists are all
+ * that it can spend. A repeated lease request is answered as before and moves nothing; one that is older than the last is
+ * answered with zero units. The next incarnation of a holder has an entry of its own: the units of the former incarnation count until their
  * term ends.
  *
- * <p>Bound: {@value #MAX_ENTRIES} holders; beyond that nothing is granted. No I/O and no clock; not thread-safe.
+ * <p>Bound: {@value #MAX_ENTRIES} entries, one for each incarnation of a holder. Beyond that a holder without an entry is
+ * granted nothing. No I/O and no clock; not thread-safe.
  */
 final class LeaseLedger {
-    /** Time from the first sending of its request for which a lease may be spent, in milliseconds. */
+    /** Time for which a lease may be spent, in milliseconds from the first sending of the lease request. */
     static final double HOLDER_TERM_MS = 2000;
     /**
-     * Time from its grant for which a lease counts as outstanding. A request that is sent on at the last moment may still
-     * have to connect.
+     * Time for which a lease counts as outstanding, in milliseconds from its grant. It exceeds the holder's term, since a
+     * client's request that is sent on at the last moment may still have to connect to its host.
      */
     static final double OWNER_TERM_MS = HOLDER_TERM_MS + CeilingShare.OUTSTANDING_MS - CeilingShare.SEND_WITHIN_MS;
-    /** Share of the owner's available units that one request may receive. */
+    /** Share of the owner's available units that one lease request may receive. */
     private static final double FAIR_SHARE = 0.5;
     /** Largest lease in units: the amount held has to fit into a message. */
     static final double MAX_LEASE_UNITS = 60;
     private static final double UNIT_RESOLUTION = 0.25; // in messages
     private static final double MIN_GRANT_UNITS = 1; // fewer units are not worth a message
-    /** Time after its lease's end for which a settled request is remembered, so that a late retransmission is recognised. */
+    /** Time after a lease's end for which its last lease request is remembered, so that a late retransmission is recognised. */
     private static final double RETENTION_MS = 10_000;
     private static final int MAX_ENTRIES = 64;
 
@@ -62,7 +67,7 @@
         }
     }
 
-    /** What a request changed. If {@code repeat} is true it changed nothing, and the first grant has to be sent again. */
+    /** What a lease request changed. If {@code repeat} is true it changed nothing, and the same grant has to be sent again. */
     record Settlement(boolean repeat, double granted, double spent, double returned) { }
 
     private final List<Entry> entries = new ArrayList<>(2);
@@ -110,7 +115,7 @@
     }
 
     /**
-     * Grants units in answer to a request that was settled just before. The grant is limited by the units requested, by a
+     * Grants units in answer to a lease request that was settled just before. The grant is limited by the units requested, by a
      * fair share of what the owner has, by the room left in the holder's lease, and by the bound on all leased units.
      *
      * @param available units that the owner has itself
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
@@ -15,24 +15,31 @@
 
 /**
  * Admission by quota and ceiling in a tier that is too large for every gateway to learn of all usage. Each customer's
- * ledger is kept by one gateway of the customer's set, the ledger replica in charge. It receives one query per request and
- * answers from the ledger at once.
+ * ledger is kept by one gateway of the customer's set, the ledger replica in charge: the first of the customer's
+ * replicas that can be reached. Apart from retransmissions it receives at most one query for a request, and none for one
+ * that a lease covers. It answers from the ledger at once.
  *
- * <p><b>Cost.</b> A query and its answer are two small messages per request, however large the tier is. A gateway that
+ * <p><b>Leases.</b> A gateway with steady demand for a customer leases units in advance: quota units from the replica in
+ * charge, ceiling units from a gateway that holds a share of the ceiling. {@link LeaseHolder} is the side that spends the
+ * units, {@link LeaseLedger} the side that granted them.
+ *
+ * <p><b>Cost.</b> A query and its answer are two small messages, however large the tier is. A gateway that
  * knows from a recent answer that the bucket is empty refuses without a query. One budget for all peers bounds the messages
  * sent, since the scarce resource is the message budget of the receivers, and a hash spreads the requests over the
  * replicas.
  *
  * <p><b>Loss.</b> A query that is not answered within {@value #REPLY_TIMEOUT_MS} ms is sent again with its serial, for
- * which a replica caches its verdict. The third miss moves the query to the next standby replica, to which the replica in
- * charge sends its ledgers every {@value #SYNC_INTERVAL_MS} ms. A peer that answers none of the attempts and from which
+ * which a replica caches its verdict. After at most {@value #MAX_SENDS} sendings the query moves on: to the next standby
+ * replica, to which the replica in charge sends its ledgers every {@value #SYNC_INTERVAL_MS} ms, or, if it is for units of a
+ * ceiling alone, to another share holder. It moves on sooner if the peer answers few queries, the message budget is used up,
+ * other queries wait for it, or the deadline is near. A peer that answers none of the attempts and from which
  * nothing else is received meanwhile counts as silent: it is skipped until a message arrives from it, and receives a probe
  * message now and then. If no replica can be queried, {@link DegradedModeEstimator} decides. Units of a ceiling are only
  * ever granted by a {@link CeilingShare}.
  *
  * <p>Next to its answers a replica sends hints about customers that request more than their quota, a few at a time, since a
- * message costs its receiver the same whatever it contains. In a network partition most gateways have never sent a query
- * for most customers.
+ * message costs its receiver the same whatever it contains. Most gateways have never sent a query for most customers; by the
+ * hints they know the load of such customers when a network partition begins.
  *
  * <p><b>Restarts.</b> A gateway that shuts down sends its ledgers to the standby replicas and announces its shutdown. A
  * gateway that returns announces itself and receives the ledgers that were kept for it.
@@ -63,11 +70,11 @@
     private static final double LOW_REPORT_VALID_MS = 1000; // for this long after a report of a low bucket, queries are thinned out
     private static final double LOW_LEVEL_SHARE = 0.25; // share of the burst below which a bucket is low
     private static final double LOW_LEVEL_QUERY_FACTOR = 1.25; // multiple of the fill rate that is queried for while the bucket is low
-    private static final int OWN_LEASE = -1; // Stands in for a replica's index: the units belong to this gateway's own lease.
+    private static final int OWN_LEASE = -1; // In place of a gateway's index: the units come from this gateway's own lease.
     private static final int MAX_OPEN_QUERIES = 512;
     private static final int MAX_ABANDONED_QUERIES = 256; // abandoned queries whose answer may still arrive
     private static final double USED_BUDGET_SHARE = 0.8; // share of the message budget; the rest absorbs bursts
-    // with broadcasts this far apart or more, they report too little too late
+    // interval between two broadcasts of one gateway from which on broadcasts report usage too late to be useful
     private static final double MAX_BROADCAST_INTERVAL_MS = 1000;
     private static final double BUDGET_BURST_MS = 250; // budget for queries that may be sent at once, as time
     // share of the full budget below which queries that are unnecessary or can wait are not sent at once
@@ -110,7 +117,7 @@
     /**
      * Units granted by a replica, to be returned if they are not used.
      *
-     * @param grantor index of the gateway that granted them
+     * @param grantor index of the gateway that granted them; -1 if they were taken from this gateway's own lease
      * @param serial of the query that they were granted for
      */
     public record Grant(int grantor, int serial, long customer, double units) { }
@@ -176,7 +183,7 @@
     private final LeaseRenewals renewals;
     private final UsageReports reports = new UsageReports();
     private final LenderQueue lenderQueue = new LenderQueue();
-    // Ledgers that this gateway is in charge of and whose customers request more than their quota, as of the last synchronisation.
+    // Ledgers of overloaded customers that this gateway is in charge of, as of the last synchronisation. See isOverloaded.
     private final List<QuotaLedger> overloaded = new ArrayList<>();
     private int nextHint;
     private final Map<Integer, List<QuotaMessage.Item>> outbox = new TreeMap<>();
@@ -447,7 +454,7 @@
         peer.lastReceivedAt = now;
     }
 
-    /** Turns to the next reachable replica of the ledger, which may be this gateway. */
+    /** Queries the next reachable replica of the ledger, or decides here if that is this gateway or no query is needed. */
     private void queryNextReplica(double now, PendingAdmission pending) {
         CustomerView view = pending.customer;
         int[] replicas = view.placement.replicas();
@@ -480,8 +487,8 @@
     }
 
     /**
-     * Turns to a gateway that may have units of the ceiling: this gateway, its lease, or any other share holder, in random
-     * order.
+     * Seeks units of the ceiling: in this gateway's own share, then in its lease, then by queries to up to
+     * {@value #MAX_LENDERS} other share holders. Refuses the request if none of them has the units.
      */
     private void seekCeilingUnits(double now, PendingAdmission pending) {
         CustomerView view = pending.customer;
@@ -685,7 +692,7 @@
                 pending.triedLenders.add(pending.peer);
             }
             seekCeilingUnits(now, pending);
-        } else { // if no replica can decide, two gateways were given different data about this customer
+        } else { // the quota lacks the units, or the queried gateway cannot decide: see Verdict.CANNOT_DECIDE
             back(pending.quotaGrant);
             refuse(now, pending, verdict == QuotaMessage.Verdict.STORE ? Why.STORE : Why.DEGRADED_MODE);
         }
@@ -702,8 +709,8 @@
      * Decides in degraded mode, if no replica can be queried or a query is not needed: the quota by the last known state of
      * the bucket, the ceiling by the share holders.
      *
-     * @param replicaReachable whether the demand is worth recording for a report; demand during a partition is outdated
-     *     when it can be reported
+     * @param replicaReachable whether a replica is reachable. Only then is the request recorded for a usage report: demand
+     *     during a partition is outdated when it can be reported
      */
     private void decideDegraded(double now, PendingAdmission pending, boolean replicaReachable) {
         CustomerView view = pending.customer;
@@ -878,7 +885,10 @@
                 .forEach(g -> enqueue(g, new QuotaMessage.Presence(QuotaMessage.State.SERVING)));
     }
 
-    /** Returns whether this gateway is in charge of the ledger and its customer requests more than the quota allows. */
+    /**
+     * Returns whether this gateway is in charge of the ledger and the customer is overloaded: it requests more than its quota
+     * and its bucket is low.
+     */
     private boolean isOverloaded(double now, QuotaLedger ledger) {
         boolean isReplica = ledger.placement.replicaIndex(config.self()) >= 0 && ledger.terms.rate() > 0
                 && ledger.demand() > ledger.terms.rate();
@@ -919,7 +929,7 @@
         return Math.max(MIN_FORGET_AFTER_MS, FORGET_FILL_TIMES * terms.fillMs());
     }
 
-    /** Sends the query again, or gives up on its receiver and turns to the next one. */
+    /** Sends the query again, or abandons it and queries the next replica or share holder. */
     private void onReplyTimeout(double now, PendingAdmission pending) {
         Peer peer = peers[pending.peer];
         if (pending.sendCount == 1) {
@@ -970,9 +980,9 @@
     }
 
     /**
-     * Prepares the shutdown of this gateway: sends its ledgers to the standby replicas. The other gateways notice its
-     * silence soon enough. A message to all of them would cost each one message, and only one in six would have sent a
-     * query before the return.
+     * Prepares the shutdown of this gateway: sends its ledgers to the standby replicas and announces the shutdown to them. The
+     * other gateways get no message, since they soon notice that this gateway is silent. A message to all would cost each of
+     * them one message, while only one in six would send a query to this gateway before it has restarted.
      */
     public void leave(double now) {
         ledgers.values().forEach(ledger -> syncStandby(now, ledger));
@@ -984,7 +994,7 @@
     // ---- received messages
 
     /**
-     * Handles a message of a peer; items that make no sense are ignored.
+     * Handles a message of a peer. Items that are outdated or do not concern this gateway are ignored.
      *
      * @param message null if it was of an older version
      */
@@ -1011,7 +1021,7 @@
         for (QuotaMessage.Item item : message.items()) {
             if (item instanceof QuotaMessage.LeaseCapable) {
                 peer.supportsLeases = true;
-                if (message.items().stream().anyMatch(i -> i instanceof QuotaMessage.Ask)) { // repeated until it is answered
+                if (message.items().stream().anyMatch(i -> i instanceof QuotaMessage.Ask)) { // sent until answered
                     enqueue(from, item);
                 }
             } else if (item instanceof QuotaMessage.LeaseRequest r) {
@@ -1040,8 +1050,10 @@
                 onPresence(now, from, peer, s.state());
             }
         }
+        // Replies are sent without taking budget. Instead a received message costs one unit of budget, but does not take it
+        // below zero. Messages with an answer cost nothing: the query or lease request that they answer has taken budget.
         if (message.items().stream().noneMatch(i -> i instanceof QuotaMessage.Answer || i instanceof QuotaMessage.LeaseGrant
-                || i instanceof QuotaMessage.DemandHint)) { // answers to messages of this gateway were counted with those
+                || i instanceof QuotaMessage.DemandHint)) {
             budget = Math.max(Math.min(budget, 0), refillBudget(now) - 1);
         }
         flush();
@@ -1189,7 +1201,12 @@
         }
     }
 
-    /** Returns {@code name=count} of the events since the last call. */
+    /**
+     * Returns {@code name=count} of the events since the last call, each with a leading blank: {@code asked} counts queries,
+     * {@code again} retransmissions, {@code missed} queries without an answer, {@code guessed} admissions in degraded mode,
+     * {@code stood_in} decisions as a standby replica, {@code unable} queries that could not be decided, and {@code leased}
+     * admissions by a lease.
+     */
     public String counts() {
         Counts taken = counts;
         counts = new Counts();
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaMessage.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaMessage.java
@@ -29,15 +29,18 @@
     // Fixed-point scale of the square root of the demand. The root gives small demands the finer resolution.
     private static final double SQRT_DEMAND_SCALE = 16;
 
-    /** How a ledger replica decided on an admission query. */
+    /** How a ledger replica, or a holder of a ceiling share, decided on an admission query. */
     public enum Verdict {
         /** The units are granted to the sender of the query. */
         GRANTED,
         /** The customer's quota bucket lacks the units. */
         STORE,
-        /** The quota units are granted, but this replica's share of the ceiling lacks the units. */
+        /** The sender's share of the ceiling lacks the units. If the query was for both, its quota units are granted. */
         CEILING_EXHAUSTED,
-        /** This gateway cannot decide: it has no room for the ledger, or the set of gateways in the query is impossible. */
+        /**
+         * The sender cannot decide: it has no room for the ledger, it keeps the ledger for another plan or set of gateways, or
+         * the plan or set in the query is impossible.
+         */
         CANNOT_DECIDE
     }
 
--- a/gateway/src/main/java/marlford/gateway/wire/WireHost.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireHost.java
@@ -15,7 +15,10 @@
 import marlford.gateway.EngineApi.Outcome;
 import marlford.gateway.EngineApi.Request;
 
-/** Runs many instances of the decision engine for the simulator: translates its lines into events, and actions into lines. */
+/**
+ * Runs many instances of the decision engine for the simulator: translates its lines into events, and actions into lines. The
+ * simulator's protocol sets the names of messages and fields; {@code event} maps them to the engine's events.
+ */
 final class WireHost {
     private final BufferedReader in;
     private final Writer out;
@@ -148,7 +151,7 @@
             case "F" -> ListKind.FULL;
             case "C" -> ListKind.CACHED;
             case "X" -> ListKind.FAILED;
-            default -> throw new WireFault("expected list kind D, F, C or X, found '" + how + "'");
+            default -> throw new WireFault("expected how D, F, C or X, found '" + how + "'");
         };
         List<Host> hosts = List.of();
         if (kind != ListKind.FAILED) {
--- a/gateway/src/test/java/marlford/gateway/ColdHostSimulation.java
+++ b/gateway/src/test/java/marlford/gateway/ColdHostSimulation.java
@@ -94,7 +94,10 @@
             }
         }
 
-        /** The most requests that the host can bear in the window that begins then: N + 2 root N + 2. */
+        /**
+         * The most requests that the host may get in the window that begins at {@code from}: N + 2 sqrt(N) + 2, where N is what
+         * the rules allow at the warmth of that time. The rest allows for random arrivals.
+         */
         private double maxRequests(double from) {
             double allowed = RULES.fallMultiple() * speedShare(from) * cores / workMs * RULES.fallMs();
             return allowed + 2 * Math.sqrt(allowed) + 2;
@@ -200,7 +203,7 @@
         return started;
     }
 
-    /** The first hosts, this many, fail; the requests that they have end with a reset. */
+    /** Lets the first {@code count} hosts fail. The requests that they have end with a reset. */
     void failHosts(int count) {
         List<SimHost> failed = hostsInOrder.subList(0, count);
         for (SimHost host : failed) {
--- a/gateway/src/test/java/marlford/gateway/PartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/PartsTest.java
@@ -134,7 +134,10 @@
         assertEquals(8, admittedUnits);
     }
 
-    /** Guards against refusals of 45% of the requests while half of the quota is unused, and 20% of the use beyond quotas. */
+    /**
+     * Regression test: in a large tier 45% of the requests were refused while half of the quota was unused, and 20% of the
+     * requests were sent beyond quotas.
+     */
     @Test
     void quotaOfALargeSetFollowsTheTraffic() {
         gateways(200);
@@ -243,7 +246,7 @@
             request(0, "capped", 2);
             pass(100);
         }
-        assertTrue(admittedUnits > 0.4 * 20 * 10, "no more than the even quarter was admitted: " + admittedUnits);
+        assertTrue(admittedUnits > 0.4 * 20 * 10, "units admitted, expected more than 40% of the ceiling: " + admittedUnits);
         assertTrue(admittedUnits <= 40 + 20 * 10, "units admitted beyond the ceiling: " + admittedUnits);
     }
 
@@ -272,7 +275,7 @@
             partitioned = false;
             unreachable = -1;
             gateways(3);
-            double lowest = 0; // the lowest excess so far: where a window that ends now began
+            double lowest = 0; // lowest excess so far; excess - lowest is the largest overrun of any window that ends now
             for (int tenth = 0; tenth < 400; tenth++) {
                 if (random.nextInt(25) == 0) {
                     partitioned = random.nextInt(3) == 0;
@@ -321,7 +324,7 @@
         pass(500);
         tier.get(0).engine.onReplaced(tier.get(0).now);
         pass(5000);
-        assertTrue(overloadCeiling(2, 0) <= 10, "more than half a second of the ceiling was admitted");
+        assertTrue(overloadCeiling(2, 0) <= 10, "expected at most 10 units, which the bucket gained before the replacement");
     }
 
     /** Rule 5 while gateways are replaced, restored and replaced again, and the old processes get requests as well. */
@@ -332,7 +335,7 @@
             reset();
             gateways(3);
             FakeGateway[] old = new FakeGateway[3];
-            double lowest = 0; // excess so far
+            double lowest = 0; // lowest excess so far
             for (int tenth = 0; tenth < 400; tenth++) {
                 if (random.nextInt(15) == 0) {
                     int g = random.nextInt(3);
@@ -395,7 +398,7 @@
             Random random = new Random(seed);
             reset();
             gateways(3);
-            double lowest = 0; // excess so far
+            double lowest = 0; // lowest excess so far
             double diedAt = 0;
             unreachable = -1;
             for (int tenth = 0; tenth < 400; tenth++) {
--- a/gateway/src/test/java/marlford/gateway/quota/LeaseSimulation.java
+++ b/gateway/src/test/java/marlford/gateway/quota/LeaseSimulation.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 
 /**
- * One random course of two owners and two holders of leases, over a link that loses, duplicates, delays and reorders
+ * One random course of events of one or two owners and two holders of leases, over a link that loses, duplicates, delays and reorders
  * messages, while owners and holders are killed and return as new incarnations. The true bucket is kept alongside and is
  * charged when a unit is sent on. Each owner has half of the bucket; for a quota there is one owner, and a standby replica
  * keeps its ledger for the return.
@@ -15,7 +15,7 @@
     private static final CeilingShare.FillMode FILLING = new CeilingShare.FillMode(true, 1);
     private static final int STEPS_PER_COURSE = 20;
     private static final int HOLDER_COUNT = 2;
-    private static final int OWNER_GRANTS_PER_SPREE = 12;
+    private static final int OWNER_REQUESTS_TO_SPEND_ALL = 12; // of one unit each, to each owner
     private static final int MAX_DELAY_MS = 2500; // maximum delay of a message
     private static final double SYNC_INTERVAL_MS = 500; // gap between messages to the standby replica
     private static final double EPSILON = 1e-6;
@@ -69,7 +69,10 @@
     private final boolean killsAllowed; // whether owners and holders get killed
     /** The lowest level of the true bucket in units. */
     double lowestLevel = Double.POSITIVE_INFINITY;
-    /** Units by which the documented formula lets the true bucket fall below zero. */
+    /**
+     * Units by which a quota may be overrun: OVERCOMMIT_SHARE of the burst, and for each kill of an owner MAX_LEASED_SHARE of the
+     * burst and the units granted since the last sync. Not used for a ceiling.
+     */
     double allowedOverrun;
     double leasedUnitsSpent;
 
@@ -138,6 +141,7 @@
         }
     }
 
+    /** Spends all leases, and requests units of each owner, so that the true bucket is at its lowest. */
     private void spendEverything() {
         for (Holder h : holders) {
             while (h.lease.spend(now, 1)) {
@@ -145,7 +149,7 @@
             }
         }
         for (Owner o : owners) {
-            for (int i = 0; i < OWNER_GRANTS_PER_SPREE; i++) {
+            for (int i = 0; i < OWNER_REQUESTS_TO_SPEND_ALL; i++) {
                 ownerSpends(o, 1);
             }
         }
