--- a/gateway/src/main/java/marlford/gateway/EngineApi.java
+++ b/gateway/src/main/java/marlford/gateway/EngineApi.java
@@ -37,7 +37,7 @@
         OK,
         /** The host has answered with an error. */
         ERROR,
-        /** The host has rejected the request because it is full. It has not run the request. */
+        /** The host has rejected the request and states that it has not run it. */
         FULL,
         /** No answer arrived in time. The host may have run the request. */
         TIMEOUT,
--- a/gateway/src/main/java/marlford/gateway/EngineState.java
+++ b/gateway/src/main/java/marlford/gateway/EngineState.java
@@ -37,7 +37,7 @@
      * broadcast.
      */
     static final double MIN_IDLE_EVICTION_MS = 20_000;
-    private static final double EVICTION_REFILL_MULTIPLE = 2; // of the time in which the slowest bucket fills from empty
+    private static final double EVICTION_REFILL_MULTIPLE = 2; // multiple of the time in which the slowest bucket fills from empty
 
     private EngineState() { }
 
@@ -279,7 +279,7 @@
      * A peer's request for a transfer of ceiling units, since it has none left.
      *
      * @param incarnation lowest 16 bits of the peer's incarnation
-     * @param count of the peer's message that asked
+     * @param count number of the peer's broadcast that carried the request
      */
     record CeilingTransferRequest(Customer customer, int peer, int incarnation, int count, double units,
             double receivedAt) { }
@@ -383,7 +383,7 @@
         int querySerial; // of the message that carries the query
         double replyDueAt; // when the reply counts as missing
         QuotaCoordinator.Grant grant; // units to return if they are not used
-        double sendBy = Double.POSITIVE_INFINITY; // its units expire then
+        double sendBy = Double.POSITIVE_INFINITY; // the granted ceiling units expire then
 
         ActiveRequest(Request request, ClassState cls, Customer customer) {
             this.request = request;
--- a/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
@@ -83,7 +83,7 @@
     private static final double PLENTIFUL_DEMAND_SHARE = 0.9; // share of the rate up to which the demand leaves a bucket plentiful
     private static final double PLENTIFUL_REPORT_VALID_MS = 15_000; // validity of a report of a plentiful bucket
     private static final double SWEEP_INTERVAL_MS = 5000;
-    private static final double MIN_FORGET_AFTER_MS = 20_000; // minimum idle time after which a customer is forgotten
+    private static final double MIN_FORGET_AFTER_MS = 20_000; // minimum idle time after which a customer is evicted
     private static final double FORGET_FILL_TIMES = 2; // minimum idle time as a multiple of the fill time of the slower bucket
     private static final double ACTIVE_LEDGER_MS = 10_000; // a ledger used within this time is passed on to a returned replica
     // Delays after the first message from a peer. The second announcement is for peers that lost the first.
@@ -283,7 +283,7 @@
         filling = false;
     }
 
-    /** Declares that the other process is gone, together with its knowledge and with what it filled meanwhile. */
+    /** Declares that the other process has ended. Its ledgers and the units that its buckets gained are lost. */
     public void restored(double now, int newIncarnation) {
         filling = true;
         incarnation = newIncarnation;
@@ -848,7 +848,7 @@
     // ---- periodic work
 
     /**
-     * Handles missing answers, sends ledgers to standby replicas, renews leases and forgets idle customers; to be called
+     * Handles missing answers, sends ledgers to standby replicas, renews leases and evicts idle customers; to be called
      * every few tens of milliseconds.
      */
     public void beat(double now) {
@@ -879,7 +879,10 @@
         flush();
     }
 
-    /** Announces this gateway. Once peers have sent messages the tier is in service, and may keep ledgers for this gateway. */
+    /**
+     * Announces this gateway to its potential standby replicas, which then send the ledgers that they keep for it. Called only
+     * once a peer has sent a message: then the tier is in service, and such ledgers may exist.
+     */
     private void announce() {
         IntStream.of(LedgerPlacement.potentialStandbys(config.self(), peers.length))
                 .forEach(g -> enqueue(g, new QuotaMessage.Presence(QuotaMessage.State.SERVING)));
@@ -948,7 +951,7 @@
         if (peer.lastReceivedAt < Math.min(pending.queriedAt, now - MAX_SENDS * REPLY_TIMEOUT_MS)) {
             peer.silentAt = peer.silent ? peer.silentAt : now;
             peer.silent = true;
-            peer.probedAt = now - PROBE_INTERVAL_MS + HINTED_PROBE_INTERVAL_MS; // all messages may have been lost by chance
+            peer.probedAt = now - PROBE_INTERVAL_MS + HINTED_PROBE_INTERVAL_MS; // a probe soon: all messages may have been lost by chance
         }
         if (pending.scope == QuotaMessage.UnitScope.CEILING) {
             seekCeilingUnits(now, pending);
--- a/gateway/src/main/java/marlford/gateway/wire/WireHost.java
+++ b/gateway/src/main/java/marlford/gateway/wire/WireHost.java
@@ -151,7 +151,7 @@
             case "F" -> ListKind.FULL;
             case "C" -> ListKind.CACHED;
             case "X" -> ListKind.FAILED;
-            default -> throw new WireFault("expected how D, F, C or X, found '" + how + "'");
+            default -> throw new WireFault("expected D, F, C or X in field how, found '" + how + "'");
         };
         List<Host> hosts = List.of();
         if (kind != ListKind.FAILED) {
--- a/gateway/src/test/java/marlford/gateway/ColdHostSimulation.java
+++ b/gateway/src/test/java/marlford/gateway/ColdHostSimulation.java
@@ -23,9 +23,9 @@
 final class ColdHostSimulation {
     private static final double STEP_MS = 2;
     private static final int QUEUE_PER_CORE = 16;
-    private static final int BUSY_ONE_IN = 5; // gateways; a busy one receives three times the mean load
+    private static final int BUSY_ONE_IN = 5; // one gateway in five is busy and receives three times the mean load
     private static final double CLIENT_DEADLINE_MS = 3000;
-    private static final int WRONG_CLOCK_ONE_IN = 3; // gateways
+    private static final int WRONG_CLOCK_ONE_IN = 3; // one gateway in three starts with a wrong wall clock
     private static final Rules RULES = FakeGateway.settings(0, 1).rules();
 
     /** An attempt at a host. */
@@ -217,7 +217,7 @@
         sendList(ListKind.CHANGES, failed);
     }
 
-    /** The first hosts, this many, are back, and cold. */
+    /** Lets the first {@code count} hosts return. They are cold. */
     void restartHosts(int count) {
         List<SimHost> restarted = hostsInOrder.subList(0, count);
         for (SimHost host : restarted) {
@@ -287,7 +287,7 @@
                 clock - job.sentAt, ok, 0, 0, new double[0]));
     }
 
-    /** The most requests that a cold host received in any window, relative to the most that it can bear. */
+    /** The most requests that a cold host received in any window, relative to the most that it may get. */
     double worstLoad() {
         return worstLoad;
     }
--- a/gateway/src/test/java/marlford/gateway/PartsTest.java
+++ b/gateway/src/test/java/marlford/gateway/PartsTest.java
@@ -247,7 +247,7 @@
             pass(100);
         }
         assertTrue(admittedUnits > 0.4 * 20 * 10, "units admitted, expected more than 40% of the ceiling: " + admittedUnits);
-        assertTrue(admittedUnits <= 40 + 20 * 10, "units admitted beyond the ceiling: " + admittedUnits);
+        assertTrue(admittedUnits <= 40 + 20 * 10, "units admitted, expected at most the ceiling: " + admittedUnits);
     }
 
     /** Guards against half of a ceiling that stays unused while its primary replica is down, although the quota has room. */
@@ -296,7 +296,7 @@
         }
     }
 
-    /** A replaced process spends what it has saved, the new one what fills: together no more than a single process. */
+    /** A replaced process spends the units left in its bucket, the new one the units gained later: together as many as one process. */
     @Test
     void replacedProcessSpendsNothingThatFillsInTheNewOne() {
         gateways(1);
@@ -306,7 +306,7 @@
         double before = admittedUnits;
         overloadCeiling(3, 0);
         assertTrue(admittedUnits - before > 40 - 4 && admittedUnits - before <= 40,
-                "units admitted of forty saved: " + (admittedUnits - before));
+                "units admitted of the 40 that were left: " + (admittedUnits - before));
         double empty = admittedUnits;
         overloadCeiling(1, 0);
         assertEquals(empty, admittedUnits, "the replaced process has admitted units that filled after its replacement");
@@ -317,7 +317,7 @@
         assertTrue(admittedUnits - empty >= 12, "units admitted since it was restored: " + (admittedUnits - empty));
     }
 
-    /** A customer that is new to a replaced process gets no more there than had filled until the replacement. */
+    /** A customer that is new to a replaced process is admitted no more units than its bucket gained before the replacement. */
     @Test
     void replacedProcessGrantsANewCustomerOnlyWhatFilledBefore() {
         gateways(1);
@@ -374,7 +374,7 @@
         }
     }
 
-    /** A restarted process that knows when the last one ended has what filled since; without that knowledge it has nothing. */
+    /** A restarted process that knows when the last one ended has the units gained since then; otherwise it has none. */
     @Test
     void restartedProcessHasWhatFilledWhileItWasDown() {
         for (double away : new double[] {0, 1000, 60_000}) {
@@ -391,7 +391,7 @@
         }
     }
 
-    /** Rule 5 while gateways are killed and restarted at random, each with the knowledge when its last process ended. */
+    /** Rule 5 while gateways are killed and restarted at random, each knowing when its last process ended. */
     @Test
     void ceilingIsNotExceededByRestartsThatKnowTheirDowntime() {
         for (long seed = 1; seed <= 12; seed++) {
