--- a/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
+++ b/gateway/src/main/java/marlford/gateway/metrics/ActivityCounters.java
@@ -48,8 +48,9 @@
         HEARD;
 
         /** The item for a request that was refused while ledger replicas are queried. */
-        public static Item of(QuotaCoordinator.Why why) {
-            return why == QuotaCoordinator.Why.STORE ? QUOTA : why == QuotaCoordinator.Why.CEILING ? CEILING : KEEPER;
+        public static Item of(QuotaCoordinator.Reason why) {
+            return why == QuotaCoordinator.Reason.QUOTA_EXHAUSTED ? QUOTA
+                    : why == QuotaCoordinator.Reason.CEILING_EXHAUSTED ? CEILING : KEEPER;
         }
 
         /** The item for the outcome of an attempt. */
@@ -67,12 +68,12 @@
     private final int[] counts = new int[Item.values().length];
 
     /** Adds one to the item. */
-    public void note(Item item) {
+    public void increment(Item item) {
         counts[item.ordinal()]++;
     }
 
     /** {@code name=count} for each item that is not zero, in the order of the items; resets all counts to zero. */
-    public String take() {
+    public String takeLine() {
         StringBuilder line = new StringBuilder();
         for (Item item : Item.values()) {
             int count = counts[item.ordinal()];
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -29,7 +29,7 @@
 import marlford.gateway.EngineApi.Request;
 import marlford.gateway.console.ServiceMetrics;
 import marlford.gateway.guard.ClientProgress;
-import marlford.gateway.guard.ClientProgress.Stopped;
+import marlford.gateway.guard.ClientProgress.Stall;
 import marlford.gateway.guard.Rule;
 import marlford.gateway.shutdown.LingeringClose;
 
@@ -133,7 +133,7 @@
         registry.addLingering(this);
         discardQueue();
         reader.discardInput(bytes -> {
-            if (!lingeringClose.read(bytes)) {
+            if (!lingeringClose.discard(bytes)) {
                 close(CloseReason.LAST_ANSWER);
             }
         });
@@ -190,7 +190,7 @@
             closeReason = reason;
             boolean answerDue = current != null || !queue.isEmpty();
             if (answerDue && reason.isWithoutClientFault() && channel.isActive()) {
-                node.rules.broken(Rule.CLOSED_UNANSWERED);
+                node.ruleCounter.countBreach(Rule.CLOSED_UNANSWERED);
             }
         }
         channel.close();
@@ -198,7 +198,7 @@
 
     /** Whether input is still read and discarded after the last answer. */
     boolean lingers(double now) {
-        return lingeringClose.goesOn(now);
+        return lingeringClose.isOpen(now);
     }
 
     /**
@@ -224,19 +224,19 @@
         if (!paused && !(channel.config().isAutoRead() && reader.isDrained())) {
             readToEnd(); // reading is paused, so this is the only way to notice that the client has stopped
         }
-        if (judge() == Stopped.NO) {
+        if (judge() == Stall.NO) {
             return;
         }
         readToEnd(); // input that already waits in the socket is late only because of this event loop
-        Stopped stopped = judge();
-        if (stopped != Stopped.NO && channel.isActive()) {
+        Stall stopped = judge();
+        if (stopped != Stall.NO && channel.isActive()) {
             endStopped(stopped);
         }
     }
 
-    private Stopped judge() {
+    private Stall judge() {
         recordOutputProgress();
-        return ClientProgress.judge(node.clock.now(), progress());
+        return ClientProgress.findStall(node.clock.now(), progress());
     }
 
     private ClientProgress.Connection progress() {
@@ -255,13 +255,13 @@
         unsentBytes = pendingBytes;
     }
 
-    private void endStopped(Stopped stopped) {
-        node.rules.clientEnded(ClientProgress.stoppedMs(node.clock.now(), stopped, progress()));
+    private void endStopped(Stall stopped) {
+        node.ruleCounter.stalledClientEnded(ClientProgress.stalledMs(node.clock.now(), stopped, progress()));
         keepAlive = false;
-        if (stopped == Stopped.READING) { // not a switch, whose helper class might have to be loaded with no descriptor left
+        if (stopped == Stall.READING) { // not a switch, whose helper class might have to be loaded with no descriptor left
             channel.config().setOption(ChannelOption.SO_LINGER, 0); // discards unread output, which would precede the close
             close(CloseReason.STALLED_OUTPUT);
-        } else if (stopped == Stopped.BEFORE_FIRST_REQUEST) {
+        } else if (stopped == Stall.BEFORE_FIRST_REQUEST) {
             registry.remove(this);
             close(CloseReason.SILENT);
         } else if (upload != null) {
@@ -357,7 +357,7 @@
             updateReading();
             busy = true;
             answered = false;
-            upload = StreamedRequest.restOf(message);
+            upload = StreamedRequest.bodyStreamOf(message);
             registry.markInUse(this);
             if (message instanceof RequestReader.UnreadableRequest) {
                 keepAlive = false; // the start of the next request is unknown
@@ -430,7 +430,7 @@
 
     /** Whether the last queued request has a long body of which as much as fits has been read. */
     private boolean isLongBodyAhead() {
-        RequestBodyStream bodyStream = queue.isEmpty() ? null : StreamedRequest.restOf(queue.peekLast().message());
+        RequestBodyStream bodyStream = queue.isEmpty() ? null : StreamedRequest.bodyStreamOf(queue.peekLast().message());
         return bodyStream != null && bodyStream.isFull();
     }
 
@@ -461,15 +461,15 @@
         // The engine holds the request from when its turn came on this connection; before that it held nothing up.
         double turnMs = now - node.lag.ms();
         Request parsed = requestParser.parse(request, now, arrivedMs, Math.max(arrivedMs, turnMs), remainingUploadMs());
-        if (parsed == null || node.knows(parsed.id())) {
-            boolean withoutId = !request.headers().contains(RequestParser.ID);
+        if (parsed == null || node.isRequestOpen(parsed.id())) {
+            boolean withoutId = !request.headers().contains(RequestParser.TRACE_ID);
             StreamedRequest.discard(request);
             onBadRequest();
             sendStatus(withoutId ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST, 0);
         } else if (node.refusesRequests()) {
             StreamedRequest.discard(request);
             node.eventLog.refused(parsed.id(), node.hasStoppedSending() ? EventLog.Refusal.ENDING : EventLog.Refusal.TOO_MANY_OPEN);
-            node.figures.ended(parsed.requestClass(), ServiceMetrics.End.DEFERRED);
+            node.metrics.requestAnswered(parsed.requestClass(), ServiceMetrics.End.DEFERRED);
             sendStatus(HttpResponseStatus.SERVICE_UNAVAILABLE, node.config.settings().limits().maxRetryAfterMs());
         } else {
             engineRequests++;
@@ -537,12 +537,12 @@
         onWritable = whenReady;
         return new HostConnection.Sink() {
             @Override
-            public void part(ByteBuf part) {
+            public void write(ByteBuf part) {
                 channel.writeAndFlush(new DefaultHttpContent(part), channel.voidPromise());
             }
 
             @Override
-            public boolean ready() {
+            public boolean isWritable() {
                 return channel.isWritable();
             }
 
--- a/gateway/src/main/java/marlford/gateway/net/HostListParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListParser.java
@@ -33,7 +33,7 @@
     private Position position = Position.START;
     private int skippedDepth; // nesting depth within an unknown value; 0 outside of one
     private String field = "";
-    private long version = HostList.NONE;
+    private long version = HostList.NO_VERSION;
     private boolean full;
     private int invalidEntries;
 
@@ -70,14 +70,14 @@
     }
 
     /** Returns the result, once all bytes were fed. */
-    HostListAnswer end() throws IOException {
+    HostListUpdate end() throws IOException {
         if (position != Position.END) {
             throw new UnreadableListException("the list of hosts is truncated");
         }
         if (invalidEntries > MAX_INVALID_ENTRIES_LOGGED) {
             Node.log("discovery: " + (invalidEntries - MAX_INVALID_ENTRIES_LOGGED) + " further entries in the list of hosts are invalid");
         }
-        return new HostListAnswer(version, full, entries);
+        return new HostListUpdate(version, full, entries);
     }
 
     private void onToken(JsonToken token) throws IOException {
@@ -106,13 +106,13 @@
             field = parser.currentName();
         } else if (token == JsonToken.END_OBJECT) {
             position = Position.END;
-        } else if (token == JsonToken.START_ARRAY && field.equals(Discovery.LIST)) {
+        } else if (token == JsonToken.START_ARRAY && field.equals(Discovery.SERVERS_FIELD)) {
             position = Position.SERVERS;
             entries.clear();
         } else if (token.isStructStart()) {
             skippedDepth = 1;
         } else if (field.equals("version")) {
-            version = parser.getValueAsLong(HostList.NONE);
+            version = parser.getValueAsLong(HostList.NO_VERSION);
         } else if (field.equals("full")) {
             full = parser.getValueAsBoolean(false);
         }
--- a/gateway/src/main/java/marlford/gateway/net/HostListAnswer.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListUpdate.java
@@ -6,8 +6,8 @@
 /**
  * A response of a discovery agent: the whole list of hosts, or the changes since an earlier version.
  *
- * @param version of the list; {@link HostList#NONE} if the response has none
+ * @param version of the list; {@link HostList#NO_VERSION} if the response has none
  * @param full whether it is the whole list
  * @param entries the hosts that it names, in their order
  */
-record HostListAnswer(long version, boolean full, List<Discovery.Entry> entries) { }
+record HostListUpdate(long version, boolean full, List<Discovery.Entry> entries) { }
--- a/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
+++ b/gateway/src/main/java/marlford/gateway/net/NodeConfig.java
@@ -17,7 +17,7 @@
 import marlford.gateway.EngineApi.Settings;
 import marlford.gateway.wire.Fields;
 import marlford.gateway.wire.SettingsReader;
-import marlford.gateway.wire.WireFault;
+import marlford.gateway.wire.WireFormatException;
 
 /**
  * The configuration of an api gateway as read from its file. Missing or malformed content is reported as
@@ -30,16 +30,16 @@
  * @param peerListen address for messages of the other gateways; null when peers exchange no messages
  * @param peers addresses of all gateways of the tier, by their number
  * @param peersAll address that reaches all peers at once; null for none
- * @param sockets number of file descriptors that the process may hold
- * @param known host list with which the gateway starts; may be a missing node
+ * @param maxDescriptors number of file descriptors that the process may hold
+ * @param knownHosts host list with which the gateway starts; may be a missing node
  * @param settings of the decision engine
  * @param connectTimeoutMs limit for connecting to a host
- * @param idleMs time after which an idle host connection is closed
+ * @param hostIdleMs time after which an idle host connection is closed
  * @param maxOpenRequests number of requests that may be open at a time
  */
 record NodeConfig(String name, InetSocketAddress console, InetSocketAddress listen, InetSocketAddress discovery,
-        InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll, int sockets,
-        JsonNode known, Settings settings, double connectTimeoutMs, double idleMs, int maxOpenRequests) {
+        InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll, int maxDescriptors,
+        JsonNode knownHosts, Settings settings, double connectTimeoutMs, double hostIdleMs, int maxOpenRequests) {
     private static final int MAX_PORT = 65_535;
     private static final int HEX_RADIX = 16;
     private static final int DEFAULT_DESCRIPTORS = 1024;
@@ -57,7 +57,7 @@
     }
 
     /** Reads the content of a configuration file. */
-    static byte[] bytes(String file) throws BadConfig {
+    static byte[] readFile(String file) throws BadConfig {
         if (file == null || file.isEmpty()) {
             throw new BadConfig("environment variable NODE_CONFIG is empty or not set; it must name the configuration file");
         }
@@ -74,7 +74,7 @@
             return of(JsonTree.read(new ByteArrayInputStream(text)));
         } catch (IOException e) {
             throw new BadConfig("can't read " + file + ": " + firstLine(e));
-        } catch (WireFault | IllegalArgumentException e) {
+        } catch (WireFormatException | IllegalArgumentException e) {
             throw new BadConfig(file + ": " + e.getMessage());
         }
     }
@@ -87,7 +87,7 @@
      * Reads the configuration from a JSON tree.
      *
      * @throws IllegalArgumentException if a value is missing, malformed or out of range
-     * @throws WireFault if a setting of the decision engine is missing or malformed
+     * @throws WireFormatException if a setting of the decision engine is missing or malformed
      */
     static NodeConfig of(JsonNode root) {
         if (!root.isObject()) {
@@ -102,7 +102,7 @@
         for (JsonNode peer : root.path("peers")) {
             peers.add(address(peer.asText()));
         }
-        boolean peerMessages = settings.limits().peers() && root.hasNonNull("peer_listen");
+        boolean peerMessages = settings.limits().peerMessages() && root.hasNonNull("peer_listen");
         String console = root.hasNonNull("console") ? text(root, "console") : System.getenv("NODE_CONSOLE");
         return new NodeConfig(root.path("name").asText(), console == null || console.isEmpty() ? null : address(console),
                 address(text(root, "listen")), address(text(root, "discovery")),
