--- a/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
+++ b/gateway/src/main/java/marlford/gateway/quota/QuotaCoordinator.java
@@ -881,7 +881,7 @@
 
     /**
      * Announces this gateway to its potential standby replicas, which then send the ledgers that they keep for it. Called only
-     * once a peer has sent a message: then the tier is in service, and such ledgers may exist.
+     * after a peer has sent a message: then the tier is in service, and such ledgers may exist.
      */
     private void announce() {
         IntStream.of(LedgerPlacement.potentialStandbys(config.self(), peers.length))
