--- a/gateway/src/test/java/marlford/gateway/QuotaSharingTest.java
+++ b/gateway/src/test/java/marlford/gateway/QuotaSharingTest.java
@@ -134,7 +134,10 @@
         assertEquals(8, admittedUnits);
     }
 
-    /** Guards against refusals of 45% of the requests while half of the quota is unused, and 20% of the use beyond quotas. */
+    /**
+     * Regression test: in a large tier 45% of the requests were refused while half of the quota was unused, and 20% of the
+     * requests were sent beyond quotas.
+     */
     @Test
     void quotaOfALargeSetFollowsTheTraffic() {
         gateways(200);
@@ -243,8 +246,8 @@
             request(0, "capped", 2);
             pass(100);
         }
-        assertTrue(admittedUnits > 0.4 * 20 * 10, "no more than the even quarter was admitted: " + admittedUnits);
-        assertTrue(admittedUnits <= 40 + 20 * 10, "units admitted beyond the ceiling: " + admittedUnits);
+        assertTrue(admittedUnits > 0.4 * 20 * 10, "units admitted, expected more than 40% of the ceiling: " + admittedUnits);
+        assertTrue(admittedUnits <= 40 + 20 * 10, "units admitted, expected at most the ceiling: " + admittedUnits);
     }
 
     /** Guards against half of a ceiling that stays unused while its primary replica is down, although the quota has room. */
@@ -272,7 +275,7 @@
             partitioned = false;
             unreachable = -1;
             gateways(3);
-            double lowest = 0; // the lowest excess so far: where a window that ends now began
+            double lowest = 0; // lowest excess so far; excess - lowest is the largest overrun of any window that ends now
             for (int tenth = 0; tenth < 400; tenth++) {
                 if (random.nextInt(25) == 0) {
                     partitioned = random.nextInt(3) == 0;
@@ -293,7 +296,7 @@
         }
     }
 
-    /** A replaced process spends what it has saved, the new one what fills: together no more than a single process. */
+    /** A replaced process spends the units left in its bucket, the new one the units gained later: together as many as one process. */
     @Test
     void replacedProcessSpendsNothingThatFillsInTheNewOne() {
         gateways(1);
@@ -303,7 +306,7 @@
         double before = admittedUnits;
         overloadCeiling(3, 0);
         assertTrue(admittedUnits - before > 40 - 4 && admittedUnits - before <= 40,
-                "units admitted of forty saved: " + (admittedUnits - before));
+                "units admitted of the 40 that were left: " + (admittedUnits - before));
         double empty = admittedUnits;
         overloadCeiling(1, 0);
         assertEquals(empty, admittedUnits, "the replaced process has admitted units that filled after its replacement");
@@ -314,14 +317,14 @@
         assertTrue(admittedUnits - empty >= 12, "units admitted since it was restored: " + (admittedUnits - empty));
     }
 
-    /** A customer that is new to a replaced process gets no more there than had filled until the replacement. */
+    /** A customer that is new to a replaced process is admitted no more units than its bucket gained before the replacement. */
     @Test
     void replacedProcessGrantsANewCustomerOnlyWhatFilledBefore() {
         gateways(1);
         pass(500);
         tier.get(0).engine.onReplaced(tier.get(0).now);
         pass(5000);
-        assertTrue(overloadCeiling(2, 0) <= 10, "more than half a second of the ceiling was admitted");
+        assertTrue(overloadCeiling(2, 0) <= 10, "expected at most 10 units, which the bucket gained before the replacement");
     }
 
     /** Rule 5 while gateways are replaced, restored and replaced again, and the old processes get requests as well. */
@@ -332,7 +335,7 @@
             reset();
             gateways(3);
             FakeGateway[] old = new FakeGateway[3];
-            double lowest = 0; // excess so far
+            double lowest = 0; // lowest excess so far
             for (int tenth = 0; tenth < 400; tenth++) {
                 if (random.nextInt(15) == 0) {
                     int g = random.nextInt(3);
@@ -371,7 +374,7 @@
         }
     }
 
-    /** A restarted process that knows when the last one ended has what filled since; without that knowledge it has nothing. */
+    /** A restarted process that knows when the last one ended has the units gained since then; otherwise it has none. */
     @Test
     void restartedProcessHasWhatFilledWhileItWasDown() {
         for (double away : new double[] {0, 1000, 60_000}) {
@@ -388,14 +391,14 @@
         }
     }
 
-    /** Rule 5 while gateways are killed and restarted at random, each with the knowledge when its last process ended. */
+    /** Rule 5 while gateways are killed and restarted at random, each knowing when its last process ended. */
     @Test
     void ceilingIsNotExceededByRestartsThatKnowTheirDowntime() {
         for (long seed = 1; seed <= 12; seed++) {
             Random random = new Random(seed);
             reset();
             gateways(3);
-            double lowest = 0; // excess so far
+            double lowest = 0; // lowest excess so far
             double diedAt = 0;
             unreachable = -1;
             for (int tenth = 0; tenth < 400; tenth++) {
