--- a/gateway/src/main/java/marlford/gateway/console/AdminCommands.java
+++ b/gateway/src/main/java/marlford/gateway/console/AdminCommands.java
@@ -8,10 +8,10 @@
     /** Returns whether discovery lists this host. */
     boolean knows(String host);
 
-    /** Sends all clients away until {@link #resume}; a second call has no effect. */
+    /** Releases all clients to other gateways until {@link #resume} is called; a second call has no effect. */
     void quiesce();
 
-    /** Serves clients again after {@link #quiesce}. */
+    /** Ends {@link #quiesce}: clients are served again, unless a shutdown or an upgrade in progress prevents it. */
     void resume();
 
     /** The set of excluded hosts has changed. */
--- a/gateway/src/main/java/marlford/gateway/console/Console.java
+++ b/gateway/src/main/java/marlford/gateway/console/Console.java
@@ -35,7 +35,7 @@
 
 /**
  * HTTP/1.1 endpoint for operators: one request per connection, status 2xx on success and 4xx or 5xx otherwise. It has its
- * own event loop and waits for no other, so that it also responds while the event loop that serves clients is stalled.
+ * own event loop and does not wait for other event loops, so that it also responds while the one that serves clients is stalled.
  *
  * <p>Limits: {@value #MAX_CONNECTIONS} connections, beyond which a new one evicts the oldest that has not sent its request
  * yet; {@value #MAX_BODY_BYTES} bytes of a request's body; {@value #REQUEST_TIMEOUT_MS} ms for a request to arrive.
@@ -52,7 +52,7 @@
     private final Map<String, Supplier<String>> pages;
     private final Consumer<String> log;
     private final ExcludedHosts excludedHosts;
-    private volatile Set<String> currentHosts; // immutable copy of the excluded hosts, for other threads
+    private volatile Set<String> currentHosts; // the excluded hosts: an immutable copy for other threads
     private final LinkedHashSet<Channel> awaitingRequest = new LinkedHashSet<>(); // without a complete request; the oldest first
     private int connections;
     private NioEventLoopGroup group;
@@ -120,10 +120,10 @@
     private void reload() {
         try {
             if (excludedHosts.reload()) {
-                onExclusionChanged("as changed by the other process");
+                onExclusionChanged("as changed by the other process of an upgrade");
             }
         } catch (IOException | RuntimeException e) {
-            log.accept("console: cannot read the excluded hosts, keeping the current ones; check the folder: " + e);
+            log.accept("console: cannot read the stored excluded hosts, keeping the current ones; check the directory TMPDIR: " + e);
         }
     }
 
@@ -215,11 +215,11 @@
                     onExclusionChanged("after uncordon of " + host);
                 }
                 case "/admin/quiesce" -> {
-                    log.accept("console: quiesce: sending clients away");
+                    log.accept("console: quiesce: releasing clients to other gateways, reporting unhealthy");
                     commands.quiesce();
                 }
                 case "/admin/resume" -> {
-                    log.accept("console: resume: serving clients again");
+                    log.accept("console: resume: ending the quiesce command; a shutdown or an upgrade in progress continues");
                     commands.resume();
                 }
                 default -> {
--- a/gateway/src/main/java/marlford/gateway/console/ExcludedHosts.java
+++ b/gateway/src/main/java/marlford/gateway/console/ExcludedHosts.java
@@ -38,7 +38,7 @@
         try {
             reload();
         } catch (IOException e) {
-            log.accept("console: cannot read the excluded hosts yet, starting without any and retrying; check the folder: " + e);
+            log.accept("console: cannot read the excluded hosts yet, starting without any and retrying; check the directory TMPDIR: " + e);
         }
     }
 
--- a/gateway/src/main/java/marlford/gateway/guard/Rule.java
+++ b/gateway/src/main/java/marlford/gateway/guard/Rule.java
@@ -1,6 +1,6 @@
 package marlford.gateway.guard;
 
-/** Invariants that the gateway must never break; each constant names a breach. The log has the names in lower case. */
+/** Invariants that the gateway must never break; each constant names a breach. The activity line has the names in lower case. */
 public enum Rule {
     /** A stalled client was left without an error or a close for longer than the limit. */
     CLIENT_LEFT_OPEN,
@@ -22,6 +22,6 @@
     REPEATED_ELSEWHERE,
     /** A second copy was about to be sent although the settings allow none. */
     SECOND_COPY,
-    /** A process that had been told to end accepted clients. */
+    /** A process opened its listener for clients although its shutdown had begun before. */
     LISTENED_WHILE_ENDING
 }
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -43,16 +43,17 @@
     // Bounds on the input that is read ahead to find out whether a client is still connected.
     private static final int MAX_READ_AHEAD_BYTES = 256 * 1024; // on one connection
     private static final int MAX_TOTAL_READ_AHEAD_BYTES = 4 * 1024 * 1024; // on all connections
-    private static final double PRESENCE_VALID_MS = 40; // for this time a check is not repeated: half of the permitted delay
+    /** A presence check is not repeated within this time, which is less than half of {@link ClientDepartureCounters#SEND_GRACE_MS}. */
+    private static final double PRESENCE_VALID_MS = 40;
     private static final double JUST_OPENED_MS = 50; // a first request within this time may have arrived with the connection
     private static final int BAD_REQUEST_LIMIT = 2; // from this number on, each bad request pauses reading
     private static final long BAD_REQUEST_PAUSE_MS = 200;
-    private static final double MIN_UPLOAD_BYTES_PER_MS = 64; // slowest client that the protocol allows
+    private static final double MIN_UPLOAD_BYTES_PER_MS = 64; // upload speed of the slowest client that the tier's client protocol allows
     private static final double ASSUMED_BODY_BYTES = 1 << 20; // for a long body without a declared length
     private static final double MS_PER_SECOND = 1000;
     private static final String HEALTH_PATH = "/healthz";
 
-    /** Result of a presence check. UNKNOWN means that too much unread input stands in front of a possible end of the connection. */
+    /** Result of a presence check. UNKNOWN: there is more unread input than may be read to find the end of the connection. */
     enum Presence { CONNECTED, DISCONNECTED, UNKNOWN }
 
     /** A message that was read and waits in the queue; the client's time limit counts from its arrival. */
@@ -69,7 +70,7 @@
     private final Runnable processNext = this::processNext;
     private long queuedBytes;
     private double lastSeenMs; // last time at which the client was certainly connected
-    private boolean readingPaused; // input may have waited for longer than the event loop lags, until the socket is drained
+    private boolean readingPaused; // reading has paused since the socket was last read to its end, so input may have waited in it
     private long unsentBytes; // output that was not yet written to the socket at the last check
     private double outputProgressMs; // last time at which output was seen to be written
     private boolean inputHidden; // more input is unread than may be read ahead
@@ -83,7 +84,7 @@
     private int engineRequests; // requests passed to the decision engine
     private int badRequests;
     private Runnable onWritable; // resumes the answer that is being streamed; null when there is none
-    private boolean paused; // reading is paused after bad requests
+    private boolean paused; // reading is paused for BAD_REQUEST_PAUSE_MS after repeated bad requests; false in other pauses
     private RequestBodyStream upload; // rest of the current request's body; null when the body is buffered completely
     private boolean answered; // the current request is answered, although more of its body may follow
     private CloseReason closeReason; // null until this side closes the connection
@@ -222,7 +223,7 @@
     /** Ends the connection if the client has stopped sending or reading: with status 408 where one can be sent. */
     void endIfStopped() {
         if (!paused && !(channel.config().isAutoRead() && reader.isDrained())) {
-            readToEnd(); // reading is paused, so this is the only way to notice that the client has stopped
+            readToEnd(); // a client is not judged as stopped while its socket may hold unread input
         }
         if (judge() == Stopped.NO) {
             return;
@@ -274,7 +275,7 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event instanceof RequestReader.BodyReceived) { // deferred, because the socket is being read right now
+        if (event instanceof RequestReader.BodyReceived) { // deferred, because this call is made while the socket is being read
             node.loop.execute(() -> confirmBody(((RequestReader.BodyReceived) event).body()));
             return;
         }
@@ -298,7 +299,7 @@
             StreamedRequest.discard(message);
             return;
         }
-        if (upload != null && !upload.isComplete()) { // the body is unreadable, so its request can't be completed
+        if (upload != null && !upload.isComplete()) { // the message is an UnreadableRequest: the body can't be completed
             close(CloseReason.UNREADABLE_BODY);
             return;
         }
@@ -308,7 +309,7 @@
             lastSeenMs = node.clock.now() - node.lag.ms(); // the input may have waited in the socket while the loop lagged
         }
         if (isPresenceOutdated()) {
-            node.loop.execute(processNext); // after the end of the connection, if it directly follows, has been read
+            node.loop.execute(processNext); // deferred, so that a close by the client that directly follows the request is read first
         } else {
             processNext();
         }
@@ -458,7 +459,8 @@
             return;
         }
         double now = node.clock.now();
-        // The engine holds the request from when its turn came on this connection; before that it held nothing up.
+        // The time for which the engine holds the request begins when it is the first one on this connection, less the event loop lag.
+        // The time that it has waited behind other requests of the connection does not count.
         double turnMs = now - node.lag.ms();
         Request parsed = requestParser.parse(request, now, arrivedMs, Math.max(arrivedMs, turnMs), remainingUploadMs());
         if (parsed == null || node.knows(parsed.id())) {
@@ -559,7 +561,10 @@
         };
     }
 
-    /** Sends an answer without a body; a positive delay is sent as Retry-After. */
+    /**
+     * Sends an answer without a body. A positive delay is sent as Retry-After, as a decimal number of seconds to the millisecond;
+     * standard HTTP allows whole seconds only.
+     */
     void sendStatus(HttpResponseStatus status, double retryAfterMs) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.EMPTY_BUFFER);
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnectionRegistry.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnectionRegistry.java
@@ -11,13 +11,14 @@
     private static final double CLIENT_DESCRIPTOR_SHARE = 0.42; // of all descriptors; other parts of the process need the rest
     private static final double UNUSED_CONNECTION_SHARE = 0.25; // of the maximum; share that may be without a request
     private static final double CROWDED_SHARE = 0.5; // of the maximum; above it idle connections are closed early
-    private static final double CROWDED_IDLE_LIMIT_MS = 2200; // idle limit when room is needed
+    /** Idle limit after at most one request, and for all connections while many are open. */
+    private static final double CROWDED_IDLE_LIMIT_MS = 2200;
     private static final double IDLE_LIMIT_MS = 20_000;
     private static final double RELEASE_IDLE_LIMIT_MS = 300; // idle limit while clients have to move to another gateway
     private static final double RELEASE_UNUSED_LIMIT_MS = 1500; // the same for connections without a first request
     private static final double DESCRIPTOR_SHORTAGE_SHARE = 0.75; // of the connections open when no descriptor was left
     private static final double DESCRIPTOR_SHORTAGE_MS = 10_000;
-    private static final int SINGLE_REQUEST = 1; // a connection with this many requests need not bring another
+    private static final int SINGLE_REQUEST = 1; // connections that have carried one request are evicted before those with several
 
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
     private final LinkedHashSet<ClientConnection> unused = new LinkedHashSet<>(); // without a request yet, oldest first
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Handles a shortage of descriptors: lowers the maximum for a while. Otherwise every descriptor that is released would be
-     * taken by the next client, and none would be left for hosts and discovery.
+     * Handles a shortage of descriptors: lowers the maximum for {@value #DESCRIPTOR_SHORTAGE_MS} ms. Otherwise every descriptor
+     * that is released would be taken by the next client, and none would be left for hosts and discovery.
      */
     void onDescriptorShortage(double now) {
         shortageUntilMs = now + DESCRIPTOR_SHORTAGE_MS;
@@ -121,7 +122,10 @@
         }
     }
 
-    /** Closes connections that have been idle for too long; the limit is lower when many are open. */
+    /**
+     * Closes connections that have been idle for too long. Those that have carried at most one request have the short limit;
+     * those with several requests have it only while more than {@link #CROWDED_SHARE} of the maximum are open.
+     */
     void closeIdle(double now) {
         maxConnections = now > shortageUntilMs ? configuredMaxConnections : maxConnections;
         boolean crowded = connections.size() > maxConnections * CROWDED_SHARE;
--- a/gateway/src/main/java/marlford/gateway/net/ClientServer.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientServer.java
@@ -53,7 +53,7 @@
         return bound;
     }
 
-    /** Closes the listener. Connections that are pending by then are still accepted, even when the event loop lags. */
+    /** Closes the listener. Connections that are pending at that time are still accepted, even when the event loop lags. */
     void stopAccepting() {
         pause();
         node.loop.schedule(() -> {
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Stops accepting for a moment. Must be called at least one iteration of the event loop before the listener is closed: the
+     * Stops accepting until the listener is closed. Must be called at least one iteration of the event loop before that: the
      * system closes a socket that is still registered only in the next iteration, and it accepts connections until then.
      */
     void pause() {
@@ -144,7 +144,7 @@
             try {
                 connection.endIfStopped();
             } catch (RuntimeException e) { // affects only this connection; the others are still checked
-                Node.log("defect: a connection could not be looked at: " + e);
+                Node.log("defect: checking the progress of a client connection failed, closing it: " + e);
                 connection.close(CloseReason.IO_ERROR);
             }
         }
--- a/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
+++ b/gateway/src/main/java/marlford/gateway/net/ConfigurationReloader.java
@@ -12,16 +12,16 @@
 import sun.misc.SignalHandler;
 
 /**
- * Keeps a process on the newest valid configuration. The file is checked every {@value #CHECK_INTERVAL_MS} ms and at once
- * on SIGHUP, and it is read after a change on a thread of this class, so that no request waits for it. An invalid file
- * changes nothing and is read again at each check, because it may be half written.
+ * Watches the configuration file and passes each new valid configuration on. The file is checked every
+ * {@value #CHECK_INTERVAL_MS} ms and at once on SIGHUP, and it is read after a change on a thread of this class, so that no
+ * request waits for it. An invalid file changes nothing and is read again at each check, because it may be half written.
  *
  * <p>The signal alone is not sufficient. A process that is started with SIGHUP ignored, for example by {@code nohup} or by
  * a shell below it, keeps ignoring it: the virtual machine does not install the handler for an ignored signal and reports
  * no error. A gateway started that way kept using the discovery address of its first configuration forever.
  *
- * <p>Until the virtual machine has installed its signal handlers, SIGHUP ends the process. For this reason the deploy file
- * starts it with SIGHUP ignored.
+ * <p>Until the virtual machine has installed its signal handlers, SIGHUP ends the process. For this reason the deployment
+ * starts the gateway with SIGHUP ignored.
  */
 final class ConfigurationReloader {
     static final long CHECK_INTERVAL_MS = 250;
@@ -45,7 +45,7 @@
             try {
                 return new Stamp(Files.readAttributes(Path.of(file), BasicFileAttributes.class));
             } catch (IOException | RuntimeException e) {
-                return null; // a file that is missing at the moment counts as changed
+                return null; // the file can't be read now; this differs from every version, but not from another null
             }
         }
 
@@ -56,7 +56,7 @@
     }
 
     private final String file;
-    private Consumer<NodeConfig> follower; // null until the start is complete
+    private Consumer<NodeConfig> follower; // null until follow is called
     private NodeConfig newest;
     private byte[] text; // content of the file from which the newest configuration was parsed
     private Stamp lastStamp; // of the file when it was last read
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Installs the SIGHUP handler. The class used for it is the only way that Java offers, and all releases keep it.
+     * Installs the SIGHUP handler. {@code sun.misc.Signal} is not a supported class, but Java has no other way to handle signals,
+     * and every release has kept it.
      *
      * @param file path of the configuration file
      */
@@ -77,7 +78,7 @@
         ConfigurationReloader reloader = new ConfigurationReloader(file);
         SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.onHangupSignal());
         if (previous == SignalHandler.SIG_IGN) {
-            Node.log("deckfall: SIGHUP is ignored since before the start: a changed configuration file is noticed within "
+            Node.log("deckfall: SIGHUP is ignored, because the process was started that way; a changed configuration file is read within "
                     + CHECK_INTERVAL_MS + " ms instead");
         }
         return reloader;
@@ -156,7 +157,7 @@
             }
         } catch (NodeConfig.BadConfig | RuntimeException e) {
             if (!invalid || hangup || changed) {
-                Node.log("deckfall: the settings stay as they were, the new file can't be used: " + e.getMessage());
+                Node.log("deckfall: the changed configuration file is invalid, the previous settings stay in use: " + e.getMessage());
             }
             invalid = true;
         }
--- a/gateway/src/main/java/marlford/gateway/net/Discovery.java
+++ b/gateway/src/main/java/marlford/gateway/net/Discovery.java
@@ -67,11 +67,11 @@
     private AgentConnection previous; // watch at the previous agent, until the new one has sent an accepted list; else null
     private Runnable onFirstList; // runs once a list was accepted or the agent is unavailable; then null
     private int failures; // failed calls in a row
-    private boolean failureLogged; // the current series of failures was logged
-    private boolean tooLongLogged; // and that the list is too long
+    private boolean failureLogged; // whether a failure of the current series of failures was logged
+    private boolean tooLongLogged; // whether a list that is too long was logged in the current series of failures
     private boolean started;
-    private boolean ageLogged; // the high age of the list was logged
-    private boolean hasList; // from an agent or from before the start
+    private boolean ageLogged; // whether it was logged that the list is too old; false again once it is not
+    private boolean hasList; // whether a list is held, from an agent or from the configuration
     private boolean waitsForList; // the gateway is unhealthy until it has a list
 
     Discovery(Node node) {
@@ -88,11 +88,12 @@
                 node.config.settings().rules().drainGraceMs(), !node.config.settings().subscribe());
     }
 
-    /** Uses a list from before the start until an agent has sent one. */
+    /** Uses the list in the configuration until an agent has sent one. A list that is too long is logged and ignored. */
     void known(JsonNode cached) {
         List<Entry> entries = readEntries(cached);
         if (entries.size() > hostLimit.hosts()) {
-            Node.log("discovery: the list of hosts in the configuration: " + new ListTooLongException(hostLimit.hosts()).getMessage());
+            Node.log("discovery: the list of hosts in the configuration is not used: "
+                    + new ListTooLongException(hostLimit.hosts()).getMessage());
             return;
         }
         hasList = !entries.isEmpty();
@@ -111,7 +112,7 @@
         connect();
     }
 
-    /** Changes to another agent. Its versions need not continue those of the previous one, so its whole list is fetched. */
+    /** Changes to another agent, whose whole list is fetched: its versions need not continue those of the previous agent. */
     void move(InetSocketAddress address) {
         if (address.equals(agent)) {
             return;
@@ -143,17 +144,18 @@
     }
 
     /**
-     * While it has no list, the gateway reports unhealthy for this long and gets no clients.
+     * Lets the gateway report unhealthy until it has a list, but no longer than the given time, so that it gets no clients
+     * that it could not serve.
      *
-     * @param ms limited, since a start that takes longer would be considered failed
+     * @param ms longest time from now on, in milliseconds; the platform treats a start that takes longer as failed
      */
     void awaitList(long ms) {
         waitsForList = !hasList;
         node.loop.schedule(() -> {
             waitsForList = false;
             if (!hasList) {
-                Node.log("discovery: no list of hosts yet from agent " + agent + ", and none from before the start; reporting healthy "
-                        + "without hosts, as the time for a start is over; check that the agent responds");
+                Node.log("discovery: no list of hosts yet from agent " + agent + ", and none in the configuration; reporting healthy "
+                        + "without hosts, because the time limit of the start has passed; check that the agent responds");
             }
         }, ms, TimeUnit.MILLISECONDS);
     }
@@ -168,7 +170,7 @@
         return list.listed();
     }
 
-    /** Records a response of a host, as evidence that it is alive while the list is old. */
+    /** Records a response of a host. While the list is too old, only hosts with a recent response get new requests. */
     void served(String host) {
         list.served(node.clock.now(), host);
     }
@@ -193,7 +195,12 @@
                 });
     }
 
-    /** A call failed. It is retried with growing, randomized delays, so that gateways do not retry in step. */
+    /**
+     * Handles a failed call: it is retried with growing, randomized delays, so that the gateways do not all retry at the same
+     * time.
+     *
+     * @param cause null if the agent closed the connection or did not respond in time
+     */
     private void failed(AgentConnection connection, Throwable cause) {
         if (connection == previous) {
             previous = null;
@@ -227,12 +234,15 @@
         try {
             callAgain(failed);
         } catch (RuntimeException | LinkageError e) {
-            Node.log("defect: no turn to call discovery: " + e);
+            Node.log("defect: requesting a turn to fetch the list of hosts failed, calling the agent directly: " + e);
             connect();
         }
     }
 
-    /** Logs one line for a series of failures, however many retries it has, and one for a list that is too long. */
+    /**
+     * Logs one line for a series of failures, whatever the number of its retries, and one for a list that is too long. A call
+     * without a cause (the agent closed the connection or did not respond in time) is not logged.
+     */
     private void logOnce(Throwable cause, boolean tooLong) {
         if (cause != null && (!failureLogged || tooLong && !tooLongLogged)) {
             Node.log("discovery: call to agent " + agent + " failed and will be retried: "
@@ -257,14 +267,17 @@
         return connection.invalidResponse ? backoff.unusable(now) : backoff.broke(now);
     }
 
-    /** Calls the agent again. If it was unavailable or its whole list is needed, the gateways take turns to fetch the list. */
+    /**
+     * Calls the agent again. If the agent was unavailable or its whole list is needed, the gateway first requests a turn from
+     * {@link SharedListFetch}: one gateway calls the agent, and the others may get the list from it.
+     */
     private void callAgain(AgentConnection failed) {
         if (onFirstList != null || failures < FAILURES_UNTIL_UNAVAILABLE && list.version(agent) != HostList.NONE) {
             connect();
             return;
         }
         InetSocketAddress calledAgent = agent;
-        AtomicBoolean done = new AtomicBoolean(); // the turn has come, or is no longer waited for
+        AtomicBoolean done = new AtomicBoolean(); // whether the turn has come or the wait for it has ended
         Consumer<SharedListFetch.Told> turn = fetched -> onLoop(() -> {
             if (!done.getAndSet(true) && failed == current) {
                 onTurn(failed, calledAgent, fetched);
@@ -285,12 +298,13 @@
     }
 
     /**
-     * Calls the agent.
+     * Ends the wait for a turn: applies the list that another gateway has fetched, if there is one, and then calls the agent.
+     * If that list is rejected, the agent is not called now; the turn is requested again after a delay.
      *
      * @param fetched a list that another gateway has fetched; null if it is this gateway's turn to call
      */
     private void onTurn(AgentConnection failed, InetSocketAddress calledAgent, SharedListFetch.Told fetched) {
-        // For a while, a list is rejected whose agent has restarted its versions.
+        // HostList rejects the list of an agent that has restarted its version numbers for a while, so a later try may succeed.
         if (fetched != null && !applyFetched(calledAgent, fetched)) {
             node.loop.schedule(() -> retry(failed), backoff.broke(node.clock.now()), TimeUnit.MILLISECONDS);
             return;
@@ -403,7 +417,7 @@
         private final HostListHandler listHandler = new HostListHandler(hostLimit.hosts());
         private Channel channel;
         private Future<?> timeout;
-        private boolean updateAccepted; // a list or changes from it were accepted
+        private boolean updateAccepted; // whether a list or changes that this connection received were accepted
         private boolean failureHandled;
         private boolean rejected; // the agent answered 503
         private boolean watchTimedOut; // a watch timed out
@@ -412,7 +426,7 @@
         private boolean responseStarted; // a part of the current response has arrived
         private double lastPartAt; // when the last part arrived
         private boolean wholeListRequested; // the current call is for the whole list, not for changes
-        private boolean holdsTurn; // other gateways wait for the result of the first call
+        private boolean holdsTurn; // whether other gateways wait for the result of this connection's first call
 
         AgentConnection(InetSocketAddress address) {
             this.address = address;
@@ -450,8 +464,8 @@
         }
 
         /**
-         * The time for a response is over. One that is already in the socket was not late, this event loop was, so it is
-         * read first. A response of which parts keep arriving gets more time.
+         * Closes the connection because the time for a response has passed. The socket is read first: if the response is already
+         * in it, this event loop was late and not the agent. A response of which parts keep arriving gets more time.
          */
         private void onTimeout() {
             int responsesBefore = responses;
@@ -494,7 +508,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HostListHandler.Response response) throws IOException {
             if (this != current && this != previous) {
-                return; // from a former agent: its list may be older than that of the new one
+                return; // sent by an agent that is no longer used; its list may be older than that of the new agent
             }
             responses++;
             stopTimeout();
@@ -552,7 +566,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             invalidResponse = !(cause instanceof IOException) || cause instanceof UnreadableListException;
             if (cause instanceof UnreadableListException && (this == current || this == previous)) {
-                list.lost(); // its changes are lost; the whole list includes them
+                list.lost(); // the changes in this response are lost, so the whole list, which includes them, is fetched
             }
             ctx.close();
             failed(this, cause);
@@ -571,7 +585,7 @@
             try {
                 entries.add(reader.toEntry());
             } catch (IllegalArgumentException invalid) {
-                Node.log("discovery: invalid entry '" + reader.id() + "' in the list of hosts: " + invalid.getMessage());
+                Node.log("discovery: invalid entry with id '" + reader.id() + "' in the list of hosts: " + invalid.getMessage());
                 if (reader.toDrainingEntry() != null) {
                     entries.add(reader.toDrainingEntry());
                 }
--- a/gateway/src/main/java/marlford/gateway/net/HostClient.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostClient.java
@@ -43,26 +43,26 @@
 final class HostClient {
     private static final String HOST_HEADER_VALUE = "backend.local";
     private static final String LOAD_REPORT_HEADER = "Endpoint-Load-Metrics";
-    private static final double MAX_IDLE_SHARE = 0.6; // share of the idle time after which a host may close a connection
+    private static final double MAX_IDLE_SHARE = 0.6; // a connection is reused only until it was idle for this share of config.idleMs()
     /**
      * How long a connection is not reused after a response. According to the platform, a host that sends a response twice
      * sends the second one some milliseconds later; if the next request were already in flight, the duplicate could not be
-     * distinguished from its response. It is a property of host faults, not of a deployment's traffic, and so not configurable.
+     * distinguished from its response. The value depends on how hosts fail and not on the traffic, so it is not configurable.
      */
     static final double REST_MS = 10;
     /**
-     * A connection that was idle for this long is preferred. It is not waited for: that would open more new connections, which
-     * may take long to come up.
+     * A connection that was idle for this long is preferred. If there is none, the gateway does not wait for one: that would
+     * open more new connections, which may take long to come up.
      */
     static final double PREFERRED_REST_MS = 50;
-    private static final double IDLE_CHECK_INTERVAL_SHARE = 0.1; // interval of the check for idle connections, as a share of that time
-    private static final long MIN_IDLE_CHECK_INTERVAL_MS = 20; // bounds the CPU use of the check if that time is short
+    private static final double IDLE_CHECK_INTERVAL_SHARE = 0.1; // interval of the idle check, as a share of config.idleMs()
+    private static final long MIN_IDLE_CHECK_INTERVAL_MS = 20; // bounds the CPU use of the check if config.idleMs() is short
     private static final long MAX_IDLE_CHECK_INTERVAL_MS = 500; // bounds how long unused connections to idle hosts hold descriptors
     private static final double HOST_CONNECTION_SHARE = 0.36; // share of all descriptors; clients and the process itself need the others
     private static final double LOCAL_FAILURE_RETRY_MS = 500; // how long a connect that fails on this machine is retried for a request
     private static final long MIN_CONNECT_RETRY_DELAY_MS = 1; // between these retries
     private static final long MAX_CONNECT_RETRY_DELAY_MS = 50;
-    private static final double PROBE_TIMEOUT_MS = 250; // given by the platform: fixed in the settings of every deployment
+    private static final double PROBE_TIMEOUT_MS = 250; // required by the platform, the same for every deployment
 
     private final Node node;
     private final Map<String, Pool> pools = new LinkedHashMap<>();
@@ -205,7 +205,7 @@
         }
     }
 
-    /** A connection that has been idle since before this time is not reused: its host may be closing it at the moment. */
+    /** A connection that has been idle since before this time is not reused: its host may be about to close it. */
     private double oldestUsableIdleTime() {
         return node.clock.now() - node.config.idleMs() * MAX_IDLE_SHARE;
     }
@@ -270,13 +270,16 @@
     /** Receives the result of a probe. */
     interface ProbeCallback {
         /**
-         * @param tookMs from the call of {@link #probe} on
+         * @param tookMs time from the call of {@link #probe} to the end of the probe, in milliseconds
          * @param report the load figures in the order of the settings; empty if there is none or it cannot be read
          */
         void probeEnded(Outcome outcome, double tookMs, double[] report);
     }
 
-    /** Sends a probe, which ends within {@value #PROBE_TIMEOUT_MS} ms. It asks for a load report if the settings name figures. */
+    /**
+     * Sends a probe, which ends within {@value #PROBE_TIMEOUT_MS} ms. It requests a load report if the settings name
+     * values that are to be reported, and a health check otherwise.
+     */
     void probe(String host, ProbeCallback callback) {
         List<String> names = node.config.settings().reportNames();
         String path = names.isEmpty() ? "/healthz" : "/load";
--- a/gateway/src/main/java/marlford/gateway/net/HostConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostConnection.java
@@ -78,7 +78,10 @@
         this.clock = clock;
     }
 
-    /** A request to a host and its response. It ends exactly once; its owner ignores later events. */
+    /**
+     * A request to a host and its response. It ends once: by a call of {@link #ended}, or by {@link #abandon}, which does
+     * not call that method. A subclass must ignore events after its end.
+     */
     abstract static class Exchange {
         private HostConnection connection;
 
@@ -115,8 +118,8 @@
         }
 
         /**
-         * Reads bytes that are already in the socket. To be called when a timeout fires: a response that has arrived by
-         * then was not late, this event loop was. The exchange may end in this call.
+         * Reads bytes that are already in the socket. To be called when a timeout fires: if the response is already in the
+         * socket, this event loop was late and not the host. The exchange may end in this call.
          */
         final void look() {
             HostConnection carrier = connection;
@@ -149,7 +152,7 @@
         /**
          * No further part follows.
          *
-         * @param whole whether the body is complete; false if the rest of it will never come
+         * @param whole whether the body is complete; false if its rest will not be received
          */
         void end(boolean whole);
     }
@@ -240,7 +243,7 @@
 
     /**
      * Fails the exchange if the host accepts no bytes of a streamed body for {@value #STREAM_STALL_TIMEOUT_MS} ms. Otherwise such a
-     * host would hold up the client for as long as the whole body may take.
+     * host would delay the client until the time limit of the whole body.
      */
     private void watchUpload(Exchange target) {
         channel.eventLoop().schedule(() -> {
@@ -322,14 +325,14 @@
         exchange = null;
     }
 
-    /** Ends the exchange because its response is invalid. The host has run the request all the same. */
+    /** Ends the exchange because its response is invalid. The host may have run the request nevertheless. */
     private void failInvalidResponse() {
         closeThenEnd(Outcome.SPOILT);
     }
 
     /**
      * Closes the connection and only then ends its exchange. The callback may send another attempt at once; if this
-     * connection were still open, two attempts of the request would be in flight together (rule 2).
+     * connection were still open, two attempts of the request would be in flight together, which the settings may forbid.
      */
     private void closeThenEnd(Outcome outcome) {
         Exchange target = exchange;
@@ -508,7 +511,7 @@
         }
     }
 
-    /** Detects a host that stops within its response and keeps the connection open, which nothing else would reveal. */
+    /** Fails the exchange if the host stops within its response and keeps the connection open; no other event would show this. */
     private void watchForStall() {
         if (!responseStarted || stallTimer != null) {
             return;
--- a/gateway/src/main/java/marlford/gateway/net/HostListParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListParser.java
@@ -22,7 +22,7 @@
             .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(MAX_STRING_CHARS).build()).build();
     private static final int MAX_INVALID_ENTRIES_LOGGED = 5; // invalid entries that are logged one by one; the others are only counted
 
-    /** Where in the document the parser is. */
+    /** Where in the document the parser is: LIST is the outer object, SERVERS its array of entries. */
     private enum Position { START, LIST, SERVERS, ENTRY, END }
 
     private final int maxHosts;
@@ -37,7 +37,7 @@
     private boolean full;
     private int invalidEntries;
 
-    /** @param maxHosts how many hosts the list may name; one more is a {@link ListTooLongException} */
+    /** @param maxHosts how many hosts the list may name; a longer list is rejected with a {@link ListTooLongException} */
     HostListParser(int maxHosts) throws IOException {
         this.maxHosts = maxHosts;
         this.parser = FACTORY.createNonBlockingByteArrayParser();
@@ -126,7 +126,7 @@
             position = Position.ENTRY;
         } else {
             skippedDepth = token.isStructStart() ? 1 : 0;
-            onInvalidEntry("", "expected a JSON object");
+            onInvalidEntry("", "expected a JSON object, but found a value of another type");
         }
     }
 
@@ -162,7 +162,7 @@
 
     private void onInvalidEntry(String id, String reason) {
         if (++invalidEntries <= MAX_INVALID_ENTRIES_LOGGED) {
-            Node.log("discovery: invalid entry '" + id + "' in the list of hosts: " + reason);
+            Node.log("discovery: invalid entry with id '" + id + "' in the list of hosts: " + reason);
         }
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -51,7 +51,7 @@
     private static final long ACTIVITY_LOG_INTERVAL_MS = 1000;
     static final long LOOP_ITERATION_MS = 2; // a timer of this length fires only after the event loop has run at least once
     private static final long LISTEN_RETRY_DELAY_MS = 50;
-    private static final double LATE_ANSWER_LIMIT_MS = 500; // an answer later than this past the deadline counts as none
+    private static final double LATE_ANSWER_LIMIT_MS = 500; // a final answer sent later than this after its deadline breaks ANSWERED_LATE
     private static final double MICROS_PER_MS = 1000;
     private static final double[] NO_LOAD_REPORT = new double[0];
 
@@ -99,7 +99,7 @@
     private boolean replaced; // another process accepts clients instead of this one
     private double releasingSinceMs = Double.POSITIVE_INFINITY; // when client connections began to be closed after an answer
     private boolean sendingStopped; // the drain has run out of time and no further attempt is sent
-    private volatile boolean endedBeforeServing; // told to end before any client was served
+    private volatile boolean endedBeforeServing; // the shutdown began before the listener was open
 
     Node(NodeConfig config) {
         this(config, DecisionEngine::new);
@@ -163,7 +163,7 @@
     }
 
     /**
-     * Runs a complete start and returns when clients are served, or when the process was told to end during the start.
+     * Runs a complete start and returns when clients are served, or when a shutdown of the process began during the start.
      *
      * @param folder directory in which the processes of one gateway find each other; null disables upgrades
      * @param ownsProcess whether the node owns this process, which then drains the node when it exits
@@ -191,7 +191,8 @@
         long beganMs = budget.ageMs();
         long limitMs = budget.limitMs(predecessor == null ? Step.WARM_UP_ALONE : Step.WARM_UP);
         int answers = WarmUp.run(config, WarmUp.FULL_WARM_UP_ANSWERS, limitMs, initialNode::isMissed);
-        log("warm after " + answers + " warm-up answers, from " + beganMs + " to " + budget.ageMs() + " ms of process age");
+        log("warm after " + answers + " answers; the warm-up ran from " + beganMs + " to " + budget.ageMs()
+                + " ms after the start of the process");
         NodeConfig newest = reloader.newest(); // the file may have changed during the warm-up, with or without a SIGHUP
         Node node = initialNode;
         if (newest != config) {
@@ -202,14 +203,16 @@
             log("start: the configuration file changed during the warm-up; the start continues with its new content");
         }
         reloader.follow(newest, node::reload);
-        Thread drain = new Thread(node::drainAndHalt); // created in a rehearsal too, so that its class gets into the archive
+        // Created in a training run for the class-data-sharing archive too, so that the classes needed here get into the archive.
+        Thread drain = new Thread(node::drainAndHalt);
         if (ownsProcess) {
             Runtime.getRuntime().addShutdownHook(drain);
         }
         if (!node.start(predecessor, budget)) {
-            log("start: the process was told to end before the listener opened; it exits without serving clients");
+            log("start: the shutdown of the process began before the listener opened; it exits without serving clients");
             return node; // the shutdown hook ends the process, and a predecessor notices that the connection closes
         }
+        // Clients are served from now on; the time counts from the start of the process.
         log("serves after " + budget.ageMs() + " ms of this process");
         extras.onServing().accept(node.servingGateway());
         if (runtimeDirectory != null) {
@@ -229,10 +232,10 @@
     /**
      * Starts the node and returns when clients are served. Blocks, so it must not be called on the event loop.
      *
-     * <p>The listener opens when discovery has sent a host list or its time limit has passed, so that configuration, host
-     * list and listener belong to the same moment and no client is served by the host list of an earlier incarnation. The
-     * listener stays closed in a process that was told to end meanwhile, as its clients would be disconnected again within
-     * moments.
+     * <p>The listener opens when discovery has sent a host list, counts as unavailable, or has not answered within the time
+     * limit. Normally, therefore, no client is served with a host list from before the start. Without an answer from discovery
+     * the gateway uses the host list of the configuration, if there is one. The listener stays closed in a process whose
+     * shutdown has begun meanwhile, because its clients would be disconnected again almost at once.
      *
      * @return whether clients are served
      * @param predecessor the process that has served clients until now; null when there is none
@@ -257,12 +260,12 @@
                     peerLink.start();
                 }
                 beginServing();
-                if (!tookOver) { // during an upgrade the gateway stays in service
+                if (!tookOver) { // after a takeover the gateway must not report unhealthy while it waits for a host list
                     discovery.awaitList(budget.unhealthyMs(!isMissed()));
                 }
                 discovery.start(listReceived::countDown);
             }).sync();
-            // Without an answer from discovery the host list from before the start is used.
+            // Without an answer from discovery the host list of the configuration is used, if there is one.
             listReceived.await(budget.limitMs(Step.WORD), TimeUnit.MILLISECONDS);
             if (!StartRetry.call(this::openListener)) {
                 return false;
@@ -280,7 +283,7 @@
         }
     }
 
-    /** Opens the listener; returns false without opening it when the process has been told to end meanwhile. */
+    /** Opens the listener; returns false without opening it when a shutdown has begun meanwhile. */
     private boolean openListener() throws InterruptedException {
         ChannelFuture opening = loop.submit(() -> draining ? null : clients.start()).sync().getNow();
         if (opening == null) {
@@ -340,7 +343,7 @@
     /**
      * Returns the steps that a successor process requests of this one during an upgrade.
      *
-     * @param exit runs once the successor has shown that it serves clients
+     * @param exit ends this process; runs once the successor has served clients for its probation time
      */
     Successor.Place place(Runnable exit) {
         return new Successor.Place() {
@@ -378,7 +381,7 @@
 
     private void resumeAfterHandover() {
         if (draining) {
-            return; // the process was told to end meanwhile
+            return; // the shutdown of this process has begun meanwhile
         }
         peerLink.start();
         deliver((now, events) -> events.onRestored(now));
@@ -407,12 +410,17 @@
         figures.cluster(adminCommands.listedHostCount(), avoided());
     }
 
-    /** Returns the number of listed hosts that are distrusted or closed. */
+    /** Returns the number of listed hosts that get no requests now, or as few as possible. */
     int avoided() {
         return engine.avoidedHostCount(clock.now());
     }
 
-    /** Logs one line per second of activity counts and event loop lag; the lines of many gateways can be added up by second. */
+    /**
+     * Logs one line per second with the counts since the last line: first those of the decision engine, then the number of open
+     * client connections ("clients"), the event loop lag in milliseconds ("late"), requests of clients that disconnected, closed
+     * connections, refused and repeated requests, and broken rules, which are counted since the start of the process. The lines
+     * of many gateways can be added up by second.
+     */
     private void logActivity() {
         loop.schedule(this::logActivity, ACTIVITY_LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
         extras.usageRecorder().look();
@@ -424,8 +432,9 @@
     }
 
     /**
-     * Whether other gateways have been heard from. Their clients would rather be served by this gateway at once than wait
-     * until it has reached its full speed.
+     * Whether a message from another gateway has been received, which shows that other gateways serve. The warm-up then ends
+     * early: this gateway adds more capacity by serving at once than by serving later at full speed. A shutdown then keeps
+     * client connections open for a while.
      */
     boolean isMissed() {
         return peerLink.hasHeard();
@@ -446,6 +455,7 @@
         deliver((now, events) -> events.onStart(now, config.settings()));
         double aloneSinceMs = peerLink.aloneSince();
         if (aloneSinceMs < Double.POSITIVE_INFINITY) {
+            // No earlier incarnation of this gateway can have spent quota since then.
             deliver((now, events) -> events.onNoOtherSpenderSince(now, aloneSinceMs));
         }
         if (console != null) {
@@ -488,8 +498,8 @@
             for (PendingEvent next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 try {
                     next.deliver(clock.now(), engine);
-                } catch (RuntimeException e) { // the request concerned is still answered by its deadline timer
-                    log("defect: the module threw " + e);
+                } catch (RuntimeException e) { // a request that this leaves open is still answered by its deadline timer
+                    log("defect: the decision engine failed on an event: " + e);
                     e.printStackTrace();
                 }
             }
@@ -511,7 +521,11 @@
         return !draining && !quiesced && discovery.ready();
     }
 
-    /** Returns since when {@link #releasesClients} holds, in milliseconds; infinite when it does not. */
+    /**
+     * Returns since when {@link #releasesClients} holds, in milliseconds on the node's clock; infinite when it does not. After a
+     * resume command during a drain it stays finite, although {@code releasesClients} may be false until the drain closes
+     * client connections.
+     */
     double releasingSinceMs() {
         return releasingSinceMs;
     }
@@ -550,7 +564,10 @@
         return sendingStopped;
     }
 
-    /** Ends the attempts of a request at its deadline. Answers the request if the engine leaves it open even then (rule 1). */
+    /**
+     * Ends the attempts of a request at its deadline. If the engine leaves the request open even then, it is answered here, so that
+     * every request gets a final answer.
+     */
     void deadline(String id) {
         OpenRequest entry = openRequests.get(id);
         if (entry == null) {
@@ -558,7 +575,7 @@
         }
         timeOutAttempts(entry);
         if (!entry.isClosed()) {
-            log("defect: no answer from the module in time, request failed");
+            log("defect: the decision engine left a request open at its deadline; the client gets status 504");
             answer(entry, HttpResponseStatus.GATEWAY_TIMEOUT, 0);
         }
     }
@@ -610,8 +627,8 @@
 
     /**
      * Ends the request if its client has disconnected. Must be called before an attempt begins, because a late event loop may
-     * not have read the end of the connection yet. Where too much unread input hides whether the client is connected, the
-     * request is answered here.
+     * not have read the end of the connection yet. If there is too much unread input to find out whether the client is
+     * connected, the request gets its final answer here and no further attempt.
      */
     void endIfClientDisconnected(OpenRequest entry) {
         ClientConnection client = entry.client();
@@ -653,7 +670,10 @@
         return sink;
     }
 
-    /** Reports the end of an attempt once. The first complete answer with status 200 goes to the client unchanged. */
+    /**
+     * Reports the end of an attempt to the engine; later calls for the same attempt do nothing. The body of the first complete
+     * answer with status 200 is sent to the client, with its Content-Type.
+     */
     void attemptEnded(Attempt attempt, Outcome outcome, FullHttpResponse response) {
         if (attempt.ended) {
             return;
@@ -769,7 +789,8 @@
             return false;
         }
         rules.broken(broken);
-        log("defect: prevented " + broken + " of request " + attempt.owner.request.id());
+        log("defect: a repeated attempt was not sent because it would have broken rule " + broken + "; request "
+                + attempt.owner.request.id());
         return true;
     }
 
@@ -903,9 +924,10 @@
     // ---- shutdown
 
     /**
-     * Answers the open requests and halts the process. A gateway with peers stays until its exit time even when its last
-     * client has disconnected: it holds the quota ledgers of customers that the other gateways serve, and the platform waits
-     * that long before it starts a replacement.
+     * Answers the open requests and halts the process. A gateway that has received messages from other gateways stays until its
+     * exit time even when its last client has disconnected: it holds the quota ledgers of customers that the other gateways
+     * serve, and the platform waits that long before it starts a replacement. The log line is also written when the exit time
+     * has come with requests still open; the process then exits at once.
      */
     private void drainAndHalt() {
         long exitNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) shutdownSchedule.exitsMs());
@@ -913,7 +935,7 @@
         try {
             awaitDrained((long) shutdownSchedule.exitsMs());
             if (isMissed() && !replaced && !endedBeforeServing) {
-                log("drained: keeps books (quota ledgers) for the other gateways until the scheduled exit time");
+                log("drained: the process stays until its scheduled exit time, because it holds quota ledgers for other gateways");
                 TimeUnit.NANOSECONDS.sleep(exitNanos - System.nanoTime());
             }
         } catch (InterruptedException e) {
@@ -923,10 +945,11 @@
     }
 
     /**
-     * Starts the shutdown: new connections are accepted for a while, as clients still arrive, every request is answered, then
-     * the process may end. A gateway with peers goes on serving open connections for as long as their requests can still be
-     * answered: no replacement is started any sooner, so an earlier end would only reduce capacity. A process that has not
-     * served yet ends at once.
+     * Starts the shutdown. New connections are accepted until {@link ShutdownSchedule#acceptsMs}, because clients still arrive,
+     * and every request is answered; then the process may exit. A gateway that has received messages from other gateways keeps
+     * serving open connections until {@link ShutdownSchedule#staysMs}: the platform starts the replacement no sooner if this
+     * process ends earlier, so an earlier end would only reduce capacity. Otherwise, and if clients are being released already,
+     * every answer closes its connection from now on. A process that has not served yet may exit at once.
      */
     void drain() {
         if (clients.listener() == null && !replaced) {
@@ -957,14 +980,17 @@
         loop.schedule(() -> deliver((now, events) -> events.onShutdown(now)), toMicros(shutdownSchedule.saysMs()), TimeUnit.MICROSECONDS);
     }
 
-    /** From here on every answer closes its connection. */
+    /** Makes every answer close its connection from now on; the trace calls this state "leaving". */
     void leave() {
         eventLog.state("leaving");
         releasingClients = true;
         releasingSinceMs = Math.min(releasingSinceMs, clock.now());
     }
 
-    /** Ends every attempt and answers every open request; later requests are refused. */
+    /**
+     * Ends every attempt, except one whose answer is being streamed to a client, and answers every open request. Later requests
+     * are refused. The trace calls this state "over".
+     */
     void endAll() {
         eventLog.state("over");
         sendingStopped = true;
@@ -1027,7 +1053,7 @@
         return console.address();
     }
 
-    /** Ends everything at once without answering open requests. */
+    /** Closes the console and stops the event loop without answering open requests. */
     void stop() {
         if (console != null) {
             console.close();
--- a/gateway/src/main/java/marlford/gateway/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -28,7 +28,7 @@
 
 /**
  * Assembles the HTTP requests of one connection. Input that can't be read is passed on as {@link UnreadableRequest}, after
- * which nothing more is read, because the start of a further request is unknown. The reader never answers itself, because
+ * which nothing more is read, because the start of a further request is unknown. The reader never sends an answer, because
  * answers must keep the order of the requests. Runs on the event loop.
  */
 final class RequestReader extends ChannelInboundHandlerAdapter {
@@ -54,7 +54,7 @@
     private HttpRequest head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
     private RequestBodyStream bodyStream; // rest of a body that is too long to be buffered; null while the body is buffered here
-    private boolean expectsContinue; // the current head asked for 100 Continue, which has not been sent
+    private boolean expectsContinue; // the current request expects 100 Continue, which has not been sent
     private boolean inputEnded; // further input is discarded
     private IntConsumer onDiscarded = bytes -> { };
     private double requestSinceMs = NONE; // arrival of the first byte of an incomplete request
@@ -64,7 +64,7 @@
     private boolean drained = true; // as far as is known, all input that has arrived was read
     private double pausedSinceMs; // since when the socket may hold unread input
     private long receivedBytesAtPause;
-    private double unseenMs; // for how long the latest input may have waited unread in the socket
+    private double unseenMs; // how long the latest input may have waited in the socket during the last completed pause of reading
     private boolean reading; // the latest input is still being passed on
 
     /** @param updateReading called when reading may have to pause or resume */
@@ -114,7 +114,7 @@
         return receivedBytes;
     }
 
-    /** Whether the caller was called while input is passed on; the connection must not be read again then. */
+    /** Whether input is being decoded and passed on; the connection must not be read again meanwhile. */
     boolean isReading() {
         return reading;
     }
@@ -144,7 +144,10 @@
         return expectsContinue && bodyBytes == 0 && head != null;
     }
 
-    /** Records that 100 Continue is sent. The client gets some time from here on, however long it has waited. */
+    /**
+     * Records that 100 Continue is sent. The client could not send its body before, so that at most
+     * {@link ClientProgress#WAITED_MS} of the time until now counts against its time limits.
+     */
     void continueSent() {
         expectsContinue = false;
         double latestMs = clock.now() - ClientProgress.WAITED_MS;
@@ -157,7 +160,7 @@
         return drained;
     }
 
-    /** Returns for how long the input being read may have waited unread because reading was paused, in milliseconds. */
+    /** Returns how long the input being read may have waited in the socket in the current pause of reading, in ms; 0 without one. */
     double unreadMs() {
         return drained ? 0 : clock.now() - pausedSinceMs;
     }
--- a/gateway/src/main/java/marlford/gateway/net/WarmUp.java
+++ b/gateway/src/main/java/marlford/gateway/net/WarmUp.java
@@ -39,13 +39,13 @@
 
 /**
  * Warms up the code before a node accepts clients: two nodes serve synthetic requests over an in-memory transport, so that
- * the code that every request runs through is compiled by then. Without it, on a third of a core, the interpreted code of
+ * the code that every request runs through is compiled before the first real one. Without it, on a third of a core, the interpreted code of
  * the first seconds serves only half of the requests. The queue that builds up in the sockets then delays all later ones:
- * clients give up and connect again, and accepting them takes the time that answers need.
+ * clients time out and connect again, and accepting their connections takes processor time that answers need.
  *
- * <p>It also covers a start on a whole core. It could do harm when gateways restart one after another, because each is
- * absent for longer and few remain. For this reason it ends early when other gateways turn out to be serving, and at a time
- * limit.
+ * <p>The warm-up is run on a whole core as well. It lengthens the absence of a gateway that restarts. When gateways
+ * restart one after another, fewer gateways would then remain to serve. For this reason the warm-up ends early when messages
+ * of other gateways arrive, and at a time limit.
  */
 final class WarmUp {
     /** Answers after which nearly all code of a request is compiled: methods are compiled after about 200 calls. */
@@ -185,7 +185,10 @@
         });
     }
 
-    /** Returns the settings of this node for a tier of two gateways that may exchange messages without a rate limit. */
+    /**
+     * Returns the settings of a warm-up node: a tier of two gateways that exchange messages without a rate limit. A tier so large
+     * that it shares quotas by different code keeps its size and its rate limit.
+     */
     private NodeConfig configOf(int index) {
         Settings base = config.settings();
         Sharing sharing = base.sharing();
--- a/gateway/src/main/java/marlford/gateway/shutdown/ShutdownSchedule.java
+++ b/gateway/src/main/java/marlford/gateway/shutdown/ShutdownSchedule.java
@@ -5,20 +5,22 @@
  * deadline, {@value #MAX_DEADLINE_MS} ms at most, plus {@value #PLATFORM_GRACE_MS} ms. Deadlines differ between deployments, so
  * the phases are derived from them and not fixed.
  *
- * <p>In order: clients may go on sending requests over their open connections until {@link #staysMs}; the listener closes at
- * {@link #acceptsMs}; at {@link #endsMs} all requests in progress are abandoned and answered, and requests that still arrive are
- * answered immediately; at {@link #saysMs} peers are told to use other gateways; at {@link #exitsMs} the process exits. The time
- * between that and SIGKILL is for a late event loop.
+ * <p>The listener closes at {@link #acceptsMs}. If other gateways serve, clients may go on sending requests over their open
+ * connections until {@link #staysMs}, which is before or after that, depending on the deadlines. Then, in this order: at
+ * {@link #endsMs} all requests in progress are abandoned and answered, except for answers that are being streamed, and requests
+ * that still arrive are refused immediately; at {@link #saysMs} peers are told to use other gateways; at {@link #exitsMs} the
+ * process exits. The time between that and SIGKILL is for a late event loop.
  *
  * <p>Pure: no clock and no I/O. Times that are not derived from deadlines depend on the process only, and are the same for every
  * deployment.
  *
- * @param staysMs if other gateways serve too, clients' connections stay open until then; 0 closes them immediately
+ * @param staysMs if other gateways serve too, answers leave client connections open until then; 0: from the start each answer
+ *     closes its connection
  * @param acceptsMs new connections are accepted until then
- * @param endsMs attempts are abandoned, and no more are sent
- * @param saysMs the farewell to peers is sent
- * @param exitsMs the process exits, whether or not every request was answered
- * @param killedMs the platform may kill the process from then on
+ * @param endsMs attempts are abandoned then, and no more are sent
+ * @param saysMs the message that ends the communication with peers is sent then
+ * @param exitsMs the process exits then, whether or not every request was answered
+ * @param killedMs the platform may send SIGKILL from then on
  */
 public record ShutdownSchedule(double staysMs, double acceptsMs, double endsMs, double saysMs, double exitsMs,
         double killedMs) {
@@ -26,12 +28,12 @@
     static final double MAX_DEADLINE_MS = 3000;
     /** Time that the platform grants beyond the longest deadline. */
     static final double PLATFORM_GRACE_MS = 700;
-    /** By the protocol, new connections keep arriving for 400 ms at most; the rest is for accepting them. */
+    /** According to the platform, new connections keep arriving for at most 400 ms after SIGTERM; the rest is for accepting them. */
     static final double LISTENER_OPEN_MS = 500;
     /** Time for the last requests of clients; with deadlines shorter than this no client connection is kept open. */
     static final double LAST_REQUESTS_MS = 1000;
-    private static final double FAREWELL_SHARE = 2.0 / 7; // of the time from the end of all requests to SIGKILL
-    private static final double EXIT_SHARE = 4.0 / 7; // of the same time; the last bytes have been written by then
+    private static final double FAREWELL_SHARE = 2.0 / 7; // of the time from endsMs to SIGKILL; when the message to peers is sent
+    private static final double EXIT_SHARE = 4.0 / 7; // of the same time; when the process exits, with the last bytes written
 
     /** @param longestDeadlineMs the longest deadline of the settings' request classes, in milliseconds; 0 or more */
     public static ShutdownSchedule of(double longestDeadlineMs) {
--- a/gateway/src/main/java/marlford/gateway/start/StartBudget.java
+++ b/gateway/src/main/java/marlford/gateway/start/StartBudget.java
@@ -3,11 +3,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * One deadline for everything that a start waits for, counted from the start of the process itself. The platform gives a
- * process that is started beside the running one {@value #PLATFORM_MS} ms to report that it serves; half of that is
- * reserved for a machine that is half as fast. A step that may be skipped (the warm-up) ends as soon as the rest of the
- * start would no longer fit into the other half. A step that can't be skipped (the handover) may use the reserve, and ends
- * with it.
+ * The time limits of the steps of a start. All of them count from the start of the process, so that time lost in one step
+ * shortens the later ones. The platform gives a process that is started beside the running one {@value #PLATFORM_MS} ms to
+ * report that it serves. The target is {@value #READY_MS} ms, half of that, so that a machine of half the speed still meets
+ * the limit. The warm-up, which may be skipped, ends early enough for the rest of the start to be done by the target. The
+ * steps of the handover can't be skipped and may run until shortly before the platform's limit.
  *
  * <p>This class only computes limits: it never waits, and the caller provides the process's age.
  */
@@ -17,13 +17,13 @@
     /** Target for the end of such a start. */
     public static final long READY_MS = PLATFORM_MS / 2;
     /**
-     * Target for the end of a first start, or of a restart whose peers send nothing. A restart has 10 s, and discovery's first
-     * answer, a long list that is read just then, and a clock that is slow come on top of this target.
+     * Target for the end of a start that replaces no running process. The platform allows 10 s for a restart. The other 2 s
+     * are for discovery's first answer, for reading a long list at that moment, and for a clock that runs slow.
      */
     static final long ALONE_READY_MS = 8000;
     /** Part of the platform's limit that is reserved for its health check to be sent and answered. */
     static final long HEALTH_CHECK_RESERVE_MS = 500;
-    /** Limit of a step that begins late and can't be skipped: an answer that is not there by then won't arrive at all. */
+    /** Limit of a step that can't be skipped and begins late: an answer that takes longer than this won't arrive at all. */
     static final long LATE_STEP_MS = 250;
     /**
      * Time that is reserved for the work after the warm-up, as a share of the time before it: both scale with the machine's
@@ -34,17 +34,20 @@
 
     /** What a start waits for, in order. */
     public enum Step {
-        /** The running process's first answer. A separate thread gives it, so its event loop may be late. */
+        /** The running process's first answer. A separate thread sends it, so a late event loop does not delay it. */
         HELLO(READY_MS),
         /** Synthetic requests, while another process serves, so that the code is compiled before the first real requests. */
         WARM_UP(READY_MS),
-        /** The same if no process serves: clients connect once the whole tier is ready. A tier that serves cuts it short. */
+        /**
+         * The same if no process is being replaced. When the whole tier starts, clients connect only once all of it is ready, so
+         * there is more time. The warm-up ends early if messages from other gateways arrive, which then serve already.
+         */
         WARM_UP_ALONE(ALONE_READY_MS),
         /** The running process releases its peer connections and ledgers. */
         TAKEN(PLATFORM_MS - HEALTH_CHECK_RESERVE_MS - LIST_AND_LISTENER_MS),
-        /** Discovery's first answer, for {@value #FIRST_ANSWER_MS} ms at most; without it the list cached before the start is used. */
+        /** Discovery's first answer, for {@value #FIRST_ANSWER_MS} ms at most; without it the list in the configuration is used. */
         WORD(READY_MS - LATE_STEP_MS),
-        /** The running process has stopped accepting; if it does not confirm that, the new process serves beside it. */
+        /** The running process confirms that it has stopped accepting; without that, the new process serves beside it. */
         LEFT(PLATFORM_MS - HEALTH_CHECK_RESERVE_MS);
 
         private final long deadlineMs; // since the process began
--- a/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.TimeUnit;
 import marlford.gateway.accept.Backoff;
 
-/** The new process's side of an upgrade: its requests to the process that serves. Not thread-safe. */
+/** The client side of an upgrade, used by the new process: requests the steps from the process that serves. Not thread-safe. */
 public final class Predecessor implements Closeable {
     private static final long MIN_CONNECT_RETRY_DELAY_MS = 5;
     private static final long MAX_CONNECT_RETRY_DELAY_MS = 100;
 
     private final HandoverChannel handover;
-    private boolean quiesced; // the other process was sending its clients away
+    private boolean quiesced; // whether the other process was quiesced, that is, released its clients to other gateways
 
     private Predecessor(HandoverChannel handover) {
         this.handover = handover;
@@ -114,7 +114,7 @@
         return true;
     }
 
-    /** Returns whether the other process was sending its clients away when it handed over. */
+    /** Returns whether the other process was quiesced, that is, released its clients to other gateways, when it handed over. */
     public boolean away() {
         return quiesced;
     }
--- a/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
@@ -12,40 +12,49 @@
 import marlford.gateway.accept.Backoff;
 
 /**
- * The running process's side of an upgrade: it waits for a new process that is to replace it, one at a time, and carries out
- * its requests. The steps are described in docs/design/upgrade.md. If the new process ends before it has served for
- * {@value #PROBATION_MS} ms, this process serves again.
+ * The server side of an upgrade, run by the process that is to be replaced. It waits for a new process and carries out the
+ * steps that the new process requests; it deals with one new process at a time. The steps are described in
+ * docs/design/upgrade.md. If the new process does not report in time that it serves, or its connection ends before it has
+ * served for {@value #PROBATION_MS} ms, this process serves again.
  */
 public final class Successor implements Closeable {
     static final String VERSION_LINE = "marlford-upgrade 1";
     static final String TAKE = "take";
     static final String TAKEN = "taken";
-    static final String TAKEN_AWAY = "taken away"; // handed over while this process was sending its clients away
+    static final String TAKEN_AWAY = "taken away"; // sent in place of TAKEN by a process that operators have quiesced
     static final String SERVING = "serving";
     static final String LEFT = "left";
 
     private static final long WARM_UP_TIMEOUT_MS = 120_000; // allows for a start on a slow machine; this process serves meanwhile
-    private static final long MIN_RETRY_DELAY_MS = 10; // while the socket fails
+    private static final long MIN_RETRY_DELAY_MS = 10; // between attempts while the socket fails
     private static final long MAX_RETRY_DELAY_MS = 1000;
-    private static final long SERVING_TIMEOUT_MS = 10_000; // from taken to serving; no messages from peers are received meanwhile
-    /** How long the new process has to serve before this one ends. */
+    /** Limit for the version line, and for the time from TAKEN to SERVING, in which this process receives no peer messages. */
+    private static final long SERVING_TIMEOUT_MS = 10_000;
+    /** Time for which the new process must have served, with its connection open, before this process ends. */
     static final long PROBATION_MS = 10_000;
 
-    /** What the running process does at the steps of an upgrade. Called on one thread, in this order; each call blocks until done. */
+    /**
+     * What the running process does at the steps of an upgrade. Called on one thread: {@link #release} first, then {@link #leave}
+     * once the new process serves, then {@link #end}. {@link #takeBack} takes the place of the remaining steps if the new process
+     * fails. Each call blocks until the step is done.
+     */
     public interface Place {
         /**
-         * Hands the communication with peers and the accounting of quotas over to the new process. Returns whether this
-         * process is sending its clients away.
+         * Stops the communication with peers and the accounting of quotas, which the new process continues. Returns whether this
+         * process is quiesced, that is, releases its clients to other gateways on an operator's command.
          */
         boolean release() throws InterruptedException;
 
         /** Stops accepting clients, as the new process accepts them. */
         void leave() throws InterruptedException;
 
-        /** The new process has ended: restores the state before {@link #release}, except for quota that has refilled since. */
+        /**
+         * Restores the state before {@link #release}, except for quota that has refilled since. Called when the new process has
+         * ended, has not reported in time that it serves, or its connection has failed before that.
+         */
         void takeBack() throws InterruptedException;
 
-        /** The new process has served for long enough; this process may end. */
+        /** Ends this process, because the new process has served for the probation time. */
         void end();
     }
 
@@ -79,7 +88,7 @@
         try {
             bind();
         } catch (IOException e) {
-            log.accept("upgrade: cannot listen for a new process yet, retrying; check the folder of the socket: " + e);
+            log.accept("upgrade: cannot listen for a new process yet, retrying; check the directory of the socket: " + e);
         }
         Thread thread = new Thread(this::serve, "successor");
         thread.setDaemon(true);
@@ -118,7 +127,7 @@
                     acceptNext(backoff);
                 } catch (IOException | RuntimeException e) { // a failure must not prevent a later upgrade
                     if (!closed) {
-                        log.accept("upgrade: serving a new process failed, listening again: " + e);
+                        log.accept("upgrade: waiting for a new process or handing over to it failed, trying again: " + e);
                         Thread.sleep(backoff.nextMs());
                     }
                 }
@@ -156,7 +165,7 @@
                 servingProcess.leave();
                 stoppedAccepting = true;
                 handover.send(LEFT);
-                log.accept("upgrade: the new process serves");
+                log.accept("upgrade: the new process serves clients, and this process has stopped accepting them");
                 handover.receive(probationMs); // no line follows: returns when the new process ends or after the probation time
             }
         } catch (IOException e) {
@@ -165,8 +174,8 @@
         if (stoppedAccepting && !handover.isEnded()) {
             servingProcess.end();
         } else {
-            log.accept("upgrade: the new process " + (stoppedAccepting ? "has ended" : "did not come to serve")
-                    + ", the place is taken back; this process continues to serve");
+            log.accept("upgrade: the new process " + (stoppedAccepting ? "has ended" : "did not report that it serves")
+                    + "; this process takes back its peer communication and quota accounting and continues to serve");
             servingProcess.takeBack();
             bind(); // the new process may have replaced the socket file
         }
--- a/gateway/src/test/java/marlford/gateway/net/NodeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/NodeTest.java
@@ -461,7 +461,7 @@
         return node;
     }
 
-    /** What the module forgets or breaks on is failed, not refused: it may have run (rules 1 and 2). */
+    /** A request that the engine leaves open or throws on is answered with a failure, not a refusal, because it may have run. */
     @Test
     void aModuleThatThrowsStillCostsNoAnswer() throws Exception {
         Node node = scripted(act -> new Scripted((now, r) -> {
--- a/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/ProcessTest.java
@@ -168,7 +168,7 @@
             awaitReady();
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
             process.destroy();
-            awaitLog("drained: keeps books");
+            awaitLog("drained: the process stays until its scheduled exit time");
             assertTrue(process.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         }
@@ -182,7 +182,7 @@
             startServing();
             for (Sockets.Registry next : List.of(first, second, first)) {
                 hangUp("{\"name\": \"n0\"}");
-                awaitLog("the settings stay as they were");
+                awaitLog("the previous settings stay in use");
                 assertTrue(ready());
                 hangUp(config(next.server.address()));
                 assertEquals("GET /v1/servers HTTP/1.1", next.server.next().start());
@@ -249,7 +249,7 @@
             startServing();
             String whole = config(first.server.address());
             hangUp(whole.substring(0, whole.length() / 2));
-            awaitLog("the settings stay as they were");
+            awaitLog("the previous settings stay in use");
             Files.writeString(dir.resolve("config.json"), whole);
             assertNotNull(first.server.next());
             Files.delete(dir.resolve("config.json"));
@@ -311,14 +311,14 @@
         Process killed = beside("killed");
         Process fresh = null;
         try {
-            awaitLog("upgrade: the new process serves");
+            awaitLog("upgrade: the new process serves clients, and this process has stopped accepting them");
             assertTrue(ready());
             killed.destroyForcibly();
-            awaitLog("the place is taken back");
+            awaitLog("this process takes back its peer communication and quota accounting");
             awaitReady();
             fresh = beside("fresh");
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.PATIENCE_MS);
-            while (Files.readString(dir.resolve("log")).split("the new process serves", -1).length < 3) {
+            while (Files.readString(dir.resolve("log")).split("the new process serves clients", -1).length < 3) {
                 assertTrue(System.nanoTime() < end && fresh.isAlive(), "not replaced");
                 Thread.sleep(20);
             }
@@ -349,7 +349,7 @@
                 assertNotNull(agent.next());
                 ended.destroy();
                 assertTrue(ended.waitFor(Sockets.PATIENCE_MS, TimeUnit.MILLISECONDS));
-                awaitLog("did not come to serve, the place is taken back");
+                awaitLog("did not report that it serves; this process takes back its peer communication and quota accounting");
                 assertTrue(ready());
                 assertFalse(Files.readString(dir.resolve("ended")).contains("serves after"));
             } finally {
@@ -389,7 +389,7 @@
         CountDownLatch replaced = new CountDownLatch(1);
         Node before = Sockets.node(config);
         try (Successor successor = new Successor(RuntimeDirectory.before(tmp.toString(), "n0").successor(), before.place(() -> { }), line -> {
-            if (line.equals("upgrade: the new process serves")) {
+            if (line.equals("upgrade: the new process serves clients, and this process has stopped accepting them")) {
                 replaced.countDown();
             }
         })) {
