--- a/gateway/src/main/java/marlford/gateway/net/Discovery.java
+++ b/gateway/src/main/java/marlford/gateway/net/Discovery.java
@@ -44,7 +44,7 @@
  * that a new address that does not respond leaves the gateway no worse informed than before.
  */
 final class Discovery {
-    static final String LIST = "servers";
+    static final String SERVERS_FIELD = "servers";
     private static final String SERVERS_PATH = "/v1/servers";
     /** Failures in a row from which the agent counts as unavailable, and a start no longer waits for its first list. */
     private static final int FAILURES_UNTIL_UNAVAILABLE = 2;
@@ -89,7 +89,7 @@
     }
 
     /** Uses the list in the configuration until an agent has sent one. A list that is too long is logged and ignored. */
-    void known(JsonNode cached) {
+    void useKnownList(JsonNode cached) {
         List<Entry> entries = readEntries(cached);
         if (entries.size() > hostLimit.hosts()) {
             Node.log("discovery: the list of hosts in the configuration is not used: "
@@ -97,7 +97,7 @@
             return;
         }
         hasList = !entries.isEmpty();
-        notifyNode(list.known(hosts(entries), cached.path("version").asLong(HostList.NONE)), entries);
+        notifyNode(list.loadCached(hosts(entries), cached.path("version").asLong(HostList.NO_VERSION)), entries);
     }
 
     /**
@@ -113,15 +113,15 @@
     }
 
     /** Changes to another agent, whose whole list is fetched: its versions need not continue those of the previous agent. */
-    void move(InetSocketAddress address) {
+    void changeAgent(InetSocketAddress address) {
         if (address.equals(agent)) {
             return;
         }
         Node.log("discovery: changing from agent " + agent + " to " + address + "; the list has version "
-                + list.version(agent) + " and is " + (long) list.ageMs(node.clock.now()) + " ms old");
+                + list.heldVersion(agent) + " and is " + (long) list.ageMs(node.clock.now()) + " ms old");
         agent = address;
         failures = 0;
-        backoff.moved();
+        backoff.agentChanged();
         resetFailureLog();
         if (!started) {
             return;
@@ -136,10 +136,10 @@
     }
 
     /** Replaces the set of hosts that operators have excluded. */
-    void leaveOut(Set<String> ids) {
-        List<Host> changes = list.leaveOut(node.clock.now(), ids);
+    void setExcludedHosts(Set<String> ids) {
+        List<Host> changes = list.setExcluded(node.clock.now(), ids);
         if (!changes.isEmpty()) {
-            node.hostsTold(ListKind.CHANGES, withAddresses(changes, Map.of()));
+            node.onHostsUpdated(ListKind.CHANGES, withAddresses(changes, Map.of()));
         }
     }
 
@@ -149,7 +149,7 @@
      *
      * @param ms longest time from now on, in milliseconds; the platform treats a start that takes longer as failed
      */
-    void awaitList(long ms) {
+    void waitForList(long ms) {
         waitsForList = !hasList;
         node.loop.schedule(() -> {
             waitsForList = false;
@@ -161,28 +161,28 @@
     }
 
     /** Returns whether there is a list of hosts, or the gateway no longer waits for one. */
-    boolean ready() {
+    boolean isReady() {
         return hasList || !waitsForList;
     }
 
     /** Returns the ids of the hosts on the list, whatever their state. */
-    Set<String> listed() {
-        return list.listed();
+    Set<String> listedHosts() {
+        return list.listedIds();
     }
 
     /** Records a response of a host. While the list is too old, only hosts with a recent response get new requests. */
-    void served(String host) {
-        list.served(node.clock.now(), host);
+    void recordResponse(String host) {
+        list.hostAnswered(node.clock.now(), host);
     }
 
     /** Opens a connection to the agent, which then replaces the current one. */
     private void connect() {
         AgentConnection connection = new AgentConnection(agent);
         current = connection;
-        backoff.called(node.clock.now());
+        backoff.callStarted(node.clock.now());
         new Bootstrap().group(node.loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) backoff.connectMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) backoff.connectTimeoutMs())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
@@ -213,7 +213,7 @@
         logOnce(cause, tooLong);
         long delayMs = retryDelayMs(connection, cause);
         if (connection.rejected) {
-            list.goOnFromKnown(agent);
+            list.continueFromCached(agent);
         }
         // A start does not wait for a retry where the agent has rejected the call or its list is too long.
         if (++failures >= FAILURES_UNTIL_UNAVAILABLE || connection.rejected || tooLong) {
@@ -222,7 +222,7 @@
         // Scheduled before the call below, which may throw.
         node.loop.schedule(() -> retry(connection), delayMs, TimeUnit.MILLISECONDS);
         if (connection.holdsTurn) {
-            node.lists().called(agent.toString(), false, null);
+            node.sharedListFetch().reportResult(agent.toString(), false, null);
         }
     }
 
@@ -256,15 +256,15 @@
     private long retryDelayMs(AgentConnection connection, Throwable cause) {
         double now = node.clock.now();
         if (connection.rejected) {
-            return backoff.turnedAway(now);
+            return backoff.waitAfterRejection(now);
         }
         if (connection.watchTimedOut) {
-            return backoff.fellSilent();
+            return backoff.waitAfterLongPollTimeout();
         }
         if (cause instanceof ListTooLongException) {
-            return backoff.tooLong(now);
+            return backoff.waitAfterTooLongList(now);
         }
-        return connection.invalidResponse ? backoff.unusable(now) : backoff.broke(now);
+        return connection.invalidResponse ? backoff.waitAfterUnusableAnswer(now) : backoff.waitAfterFailure(now);
     }
 
     /**
@@ -272,20 +272,20 @@
      * {@link SharedListFetch}: one gateway calls the agent, and the others may get the list from it.
      */
     private void callAgain(AgentConnection failed) {
-        if (onFirstList != null || failures < FAILURES_UNTIL_UNAVAILABLE && list.version(agent) != HostList.NONE) {
+        if (onFirstList != null || failures < FAILURES_UNTIL_UNAVAILABLE && list.heldVersion(agent) != HostList.NO_VERSION) {
             connect();
             return;
         }
         InetSocketAddress calledAgent = agent;
         AtomicBoolean done = new AtomicBoolean(); // whether the turn has come or the wait for it has ended
-        Consumer<SharedListFetch.Told> turn = fetched -> onLoop(() -> {
+        Consumer<SharedListFetch.FetchedList> turn = fetched -> onLoop(() -> {
             if (!done.getAndSet(true) && failed == current) {
                 onTurn(failed, calledAgent, fetched);
             }
         });
-        node.lists().due(calledAgent.toString(), turn);
+        node.sharedListFetch().requestTurn(calledAgent.toString(), turn);
         if (!done.get()) {
-            node.loop.schedule(() -> turn.accept(null), backoff.turnMs(node.clock.now()), TimeUnit.MILLISECONDS);
+            node.loop.schedule(() -> turn.accept(null), backoff.sharedFetchWaitMs(node.clock.now()), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -303,10 +303,10 @@
      *
      * @param fetched a list that another gateway has fetched; null if it is this gateway's turn to call
      */
-    private void onTurn(AgentConnection failed, InetSocketAddress calledAgent, SharedListFetch.Told fetched) {
+    private void onTurn(AgentConnection failed, InetSocketAddress calledAgent, SharedListFetch.FetchedList fetched) {
         // HostList rejects the list of an agent that has restarted its version numbers for a while, so a later try may succeed.
         if (fetched != null && !applyFetched(calledAgent, fetched)) {
-            node.loop.schedule(() -> retry(failed), backoff.broke(node.clock.now()), TimeUnit.MILLISECONDS);
+            node.loop.schedule(() -> retry(failed), backoff.waitAfterFailure(node.clock.now()), TimeUnit.MILLISECONDS);
             return;
         }
         if (fetched != null) {
@@ -323,7 +323,7 @@
     }
 
     /** Applies a list that another gateway has fetched as if this one had. Returns whether it was accepted. */
-    private boolean applyFetched(InetSocketAddress sender, SharedListFetch.Told fetched) {
+    private boolean applyFetched(InetSocketAddress sender, SharedListFetch.FetchedList fetched) {
         try {
             HostListParser parser = new HostListParser(hostLimit.hosts());
             parser.feed(fetched.text().getBytes(StandardCharsets.UTF_8));
@@ -338,26 +338,26 @@
      * Offers a response to the list and passes the resulting changes to the node. If the node fails, the whole list is fetched
      * again, so that no change is lost. Returns whether the response was accepted.
      */
-    private boolean applyUpdate(InetSocketAddress sender, HostListAnswer update) throws ListTooLongException {
+    private boolean applyUpdate(InetSocketAddress sender, HostListUpdate update) throws ListTooLongException {
         List<Entry> entries = update.entries();
         List<Host> hosts = hosts(entries);
-        if (!update.full() && list.listedWith(hosts) > hostLimit.hosts()) {
+        if (!update.full() && list.listedCountAfter(hosts) > hostLimit.hosts()) {
             throw new ListTooLongException(hostLimit.hosts());
         }
-        HostList.Told result = list.heard(node.clock.now(), sender, update.version(), update.full(), hosts);
-        hasList |= result.taken();
-        if (result.taken() && (result.kind() == ListKind.FULL || !result.hosts().isEmpty())) {
+        HostList.Update result = list.receive(node.clock.now(), sender, update.version(), update.full(), hosts);
+        hasList |= result.accepted();
+        if (result.accepted() && (result.kind() == ListKind.FULL || !result.hosts().isEmpty())) {
             if (result.kind() == ListKind.FULL) {
                 Node.log("discovery: agent " + sender + " lists " + result.hosts().size() + " hosts, version " + update.version());
             }
             try {
                 notifyNode(result, entries);
             } catch (RuntimeException e) { // otherwise these changes would never reach the node
-                list.lost();
+                list.requireFullList();
                 throw e;
             }
         }
-        return result.taken();
+        return result.accepted();
     }
 
     /** Runs the callback of the start, once. */
@@ -374,24 +374,24 @@
         node.loop.schedule(this::checkAge, AGE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         double now = node.clock.now();
         List<Host> changes = list.review(now);
-        boolean stale = list.ageMs(now) > HostList.Limits.DEFAULT.vouchMs();
+        boolean stale = list.ageMs(now) > HostList.Limits.DEFAULT.staleAfterMs();
         if (stale && !ageLogged) {
             Node.log("discovery: the list of hosts is " + (long) list.ageMs(now) + " ms old; check that the agent responds; hosts "
                     + "that have not answered in that time get no new requests: " + changes.size());
         }
         ageLogged = stale;
         if (!changes.isEmpty()) {
-            node.hostsTold(ListKind.CHANGES, withAddresses(changes, Map.of()));
+            node.onHostsUpdated(ListKind.CHANGES, withAddresses(changes, Map.of()));
         }
     }
 
     /** Passes the result of an update to the node, with the addresses of its entries. */
-    private void notifyNode(HostList.Told result, List<Entry> from) {
+    private void notifyNode(HostList.Update result, List<Entry> from) {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         for (Entry e : from) {
             addresses.put(e.host().id(), e.address());
         }
-        node.hostsTold(result.kind(), withAddresses(result.hosts(), addresses));
+        node.onHostsUpdated(result.kind(), withAddresses(result.hosts(), addresses));
     }
 
     private static List<Entry> withAddresses(List<Host> hosts, Map<String, InetSocketAddress> addresses) {
@@ -450,10 +450,11 @@
 
         /** Sends the next call: for the whole list if it is needed, otherwise a watch for changes. */
         private void call() {
-            long from = list.version(address);
-            wholeListRequested = from == HostList.NONE;
+            long from = list.heldVersion(address);
+            wholeListRequested = from == HostList.NO_VERSION;
             double now = node.clock.now();
-            long timeoutMs = wholeListRequested ? backoff.patienceMs() : this == current ? backoff.watchMs(now) : PollingBackoff.WATCH_MS;
+            long timeoutMs = wholeListRequested ? backoff.answerTimeoutMs()
+                    : this == current ? backoff.longPollTimeoutMs(now) : PollingBackoff.DEFAULT_LONG_POLL_TIMEOUT_MS;
             String uri = wholeListRequested ? SERVERS_PATH : SERVERS_PATH + "?from=" + from + "&hold_ms=" + backoff.holdMs(timeoutMs);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
                     Unpooled.EMPTY_BUFFER);
@@ -476,7 +477,7 @@
                 return;
             }
             double now = node.clock.now();
-            double deadline = Math.min(lastPartAt + backoff.patienceMs(), backoff.nextCallBy());
+            double deadline = Math.min(lastPartAt + backoff.answerTimeoutMs(), backoff.nextCallDeadlineMs());
             if (responseStarted && channel.isActive() && now < deadline) {
                 timeout = node.loop.schedule(this::onTimeout, (long) Math.ceil(deadline - now), TimeUnit.MILLISECONDS);
                 return;
@@ -496,7 +497,7 @@
         /** @param isMine whether other gateways wait for the result; the text of the list is then kept for them */
         void setHoldsTurn(boolean isMine) {
             holdsTurn = isMine;
-            listHandler.keepText(isMine && node.lists() != SharedListFetch.NONE ? MAX_SHARED_TEXT_BYTES : 0);
+            listHandler.keepText(isMine && node.sharedListFetch() != SharedListFetch.NONE ? MAX_SHARED_TEXT_BYTES : 0);
         }
 
         private void stopTimeout() {
@@ -516,12 +517,12 @@
                 rejected = response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 throw new IOException("expected status 200, but the agent answered " + response.status());
             }
-            HostListAnswer update = response.list();
-            long versionBefore = list.version(address);
+            HostListUpdate update = response.list();
+            long versionBefore = list.heldVersion(address);
             boolean accepted = applyUpdate(address, update);
             if (holdsTurn) { // even if it was not accepted here: other gateways decide for themselves
                 setHoldsTurn(false);
-                node.lists().called(address.toString(), true, update.full() ? response.text() : null);
+                node.sharedListFetch().reportResult(address.toString(), true, update.full() ? response.text() : null);
             }
             if (!accepted) {
                 throw new IOException("the agent sent version " + update.version() + " of the list, but version " + versionBefore
@@ -542,7 +543,7 @@
                     replaced.close();
                 }
             }
-            long delayMs = this == current ? backoff.answered(node.clock.now()) : 0;
+            long delayMs = this == current ? backoff.waitAfterAnswer(node.clock.now()) : 0;
             if (keepAlive && delayMs == 0) {
                 call(); // at once, so that no change is missed in between
             } else if (keepAlive) {
@@ -566,7 +567,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             invalidResponse = !(cause instanceof IOException) || cause instanceof UnreadableListException;
             if (cause instanceof UnreadableListException && (this == current || this == previous)) {
-                list.lost(); // the changes in this response are lost, so the whole list, which includes them, is fetched
+                list.requireFullList(); // the changes in this response are lost, so the whole list, which includes them, is fetched
             }
             ctx.close();
             failed(this, cause);
@@ -580,7 +581,7 @@
     static List<Entry> readEntries(JsonNode list) {
         List<Entry> entries = new ArrayList<>();
         HostEntryReader reader = new HostEntryReader();
-        for (JsonNode e : list.path(LIST)) {
+        for (JsonNode e : list.path(SERVERS_FIELD)) {
             reader.set(e);
             try {
                 entries.add(reader.toEntry());
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -62,7 +62,7 @@
     }
 
     /** Sends messages to the other gateways. */
-    interface Mail {
+    interface PeerSender {
         /** @param peer index of the receiver in the configured list of peers */
         void send(int peer, byte[] data);
     }
@@ -74,24 +74,24 @@
     final NioEventLoopGroup group;
     final EventLoop loop;
     final EventLoopLag lag;
-    final ServiceMetrics figures;
+    final ServiceMetrics metrics;
     private final Events engine;
     final EventLog eventLog;
-    final RuleCounter rules = new RuleCounter();
+    final RuleCounter ruleCounter = new RuleCounter();
     private final ClientDepartureCounters departures = new ClientDepartureCounters();
     private final ArrayDeque<PendingEvent> pendingEvents = new ArrayDeque<>();
     private final Map<String, OpenRequest> openRequests = new HashMap<>();
-    final ClientServer clients;
+    final ClientServer clientServer;
     private final HostClient hostClient;
     private final HostStateTracker hostStates;
     private final Discovery discovery;
     private final PeerLink peerLink;
-    private Mail peerSender;
+    private PeerSender peerSender;
     private final CountDownLatch drained = new CountDownLatch(1);
     private boolean delivering;
     private boolean serving; // messages from peers are dropped until then, because the engine has not been started
     private final AdminCommandHandler adminCommands;
-    GatewayExtensions extras = GatewayExtensions.NONE; // must be set before start()
+    GatewayExtensions extensions = GatewayExtensions.NONE; // must be set before start()
     private Console console; // null when no console address is configured
     private boolean draining;
     private boolean releasingClients; // the drain has reached the point from which every answer closes its connection
@@ -127,13 +127,14 @@
         this.loop = group.next();
         this.lag = new EventLoopLag(clock, loop);
         this.engine = engineFactory.apply(this);
-        this.figures = new ServiceMetrics(config.settings().classes().stream().map(RequestClass::name).toList());
-        this.clients = new ClientServer(this);
+        this.metrics = new ServiceMetrics(config.settings().classes().stream().map(RequestClass::name).toList());
+        this.clientServer = new ClientServer(this);
         this.hostClient = new HostClient(this);
         this.hostStates = new HostStateTracker(clock);
         this.discovery = new Discovery(this);
         this.peerLink = new PeerLink(this);
-        this.adminCommands = new AdminCommandHandler(loop, this::quiesce, this::resume, () -> discovery.leaveOut(console.leftOut()));
+        this.adminCommands = new AdminCommandHandler(loop, this::quiesce, this::resume,
+                () -> discovery.setExcludedHosts(console.excludedHosts()));
         this.peerSender = peerLink;
     }
 
@@ -174,23 +175,23 @@
         NodeConfig config = reloader.first();
         RuntimeDirectory runtimeDirectory = RuntimeDirectory.in(folder, config.name(), config.listen());
         Predecessor predecessor = runtimeDirectory == null ? null
-                : Predecessor.find(runtimeDirectory.successor(), budget.limitMs(Step.HELLO));
+                : Predecessor.find(runtimeDirectory.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
         // The address may be held by a process of an earlier version or by an unrelated program.
         if (runtimeDirectory != null && predecessor == null && !Transport.TCP.isFree(config.listen())) {
-            RuntimeDirectory earlierVersion = RuntimeDirectory.before(folder, config.name());
-            predecessor = Predecessor.find(earlierVersion.successor(), budget.limitMs(Step.HELLO));
+            RuntimeDirectory earlierVersion = RuntimeDirectory.ofEarlierVersion(folder, config.name());
+            predecessor = Predecessor.find(earlierVersion.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
             runtimeDirectory = predecessor == null ? runtimeDirectory
-                    : new RuntimeDirectory(earlierVersion.excludedHosts(), runtimeDirectory.successor());
+                    : new RuntimeDirectory(earlierVersion.excludedHosts(), runtimeDirectory.successorSocket());
         }
         Node initialNode = new Node(config);
-        initialNode.extras = extras;
+        initialNode.extensions = extras;
         initialNode.openConsole(runtimeDirectory);
         if (predecessor == null) {
             initialNode.loop.execute(initialNode.peerLink::start);
         }
         long beganMs = budget.ageMs();
         long limitMs = budget.limitMs(predecessor == null ? Step.WARM_UP_ALONE : Step.WARM_UP);
-        int answers = WarmUp.run(config, WarmUp.FULL_WARM_UP_ANSWERS, limitMs, initialNode::isMissed);
+        int answers = WarmUp.run(config, WarmUp.FULL_WARM_UP_ANSWERS, limitMs, initialNode::hasHeardFromPeers);
         log("warm after " + answers + " answers; the warm-up ran from " + beganMs + " to " + budget.ageMs()
                 + " ms after the start of the process");
         NodeConfig newest = reloader.newest(); // the file may have changed during the warm-up, with or without a SIGHUP
@@ -198,7 +199,7 @@
         if (newest != config) {
             initialNode.stop();
             node = new Node(newest);
-            node.extras = extras;
+            node.extensions = extras;
             node.openConsole(runtimeDirectory);
             log("start: the configuration file changed during the warm-up; the start continues with its new content");
         }
@@ -218,7 +219,7 @@
         if (runtimeDirectory != null) {
             // On its own thread, because System.exit runs the shutdown hook that drains the node and never returns.
             Runnable exit = () -> new Thread(() -> System.exit(0)).start();
-            new Successor(runtimeDirectory.successor(), node.place(exit), Node::log).open();
+            new Successor(runtimeDirectory.successorSocket(), node.handoverSteps(exit), Node::log).open();
         }
         return node;
     }
@@ -245,35 +246,35 @@
         openConsole(null);
         CountDownLatch listReceived = new CountDownLatch(1);
         try {
-            boolean tookOver = predecessor != null && predecessor.take(budget.limitMs(Step.TAKEN));
+            boolean tookOver = predecessor != null && predecessor.takeOver(budget.limitMs(Step.LEDGERS_RELEASED));
             if (!tookOver) {
                 StartRetry.call(() -> {
-                    transport.claim(config.listen());
+                    transport.verifyUnused(config.listen());
                     return null;
                 });
             }
-            if (tookOver && predecessor.away()) {
+            if (tookOver && predecessor.wasQuiesced()) {
                 adminCommands.quiesce();
             }
             loop.submit(() -> {
-                if (!peerLink.started()) {
+                if (!peerLink.isStarted()) {
                     peerLink.start();
                 }
                 beginServing();
                 if (!tookOver) { // after a takeover the gateway must not report unhealthy while it waits for a host list
-                    discovery.awaitList(budget.unhealthyMs(!isMissed()));
+                    discovery.waitForList(budget.maxUnhealthyMs(!hasHeardFromPeers()));
                 }
                 discovery.start(listReceived::countDown);
             }).sync();
             // Without an answer from discovery the host list of the configuration is used, if there is one.
-            listReceived.await(budget.limitMs(Step.WORD), TimeUnit.MILLISECONDS);
+            listReceived.await(budget.limitMs(Step.FIRST_DISCOVERY_ANSWER), TimeUnit.MILLISECONDS);
             if (!StartRetry.call(this::openListener)) {
                 return false;
             }
-            if (tookOver && !predecessor.serving(budget.limitMs(Step.LEFT))) {
+            if (tookOver && !predecessor.reportServing(budget.limitMs(Step.LISTENER_RELEASED))) {
                 log("upgrade: the previous process did not confirm in time that it stopped accepting; check that it has ended");
             }
-            adminCommands.setReady(!tookOver || !predecessor.away());
+            adminCommands.setReady(!tookOver || !predecessor.wasQuiesced());
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -285,7 +286,7 @@
 
     /** Opens the listener; returns false without opening it when a shutdown has begun meanwhile. */
     private boolean openListener() throws InterruptedException {
-        ChannelFuture opening = loop.submit(() -> draining ? null : clients.start()).sync().getNow();
+        ChannelFuture opening = loop.submit(() -> draining ? null : clientServer.start()).sync().getNow();
         if (opening == null) {
             return false;
         }
@@ -300,7 +301,7 @@
      */
     void openConsole(RuntimeDirectory runtimeDirectory) throws IOException {
         if (console == null && config.console() != null) {
-            console = new Console(adminCommands, figures, extras.pages(),
+            console = new Console(adminCommands, metrics, extensions.pages(),
                     runtimeDirectory == null ? null : runtimeDirectory.excludedHosts(), Node::log);
             listenOnConsole();
         }
@@ -334,7 +335,7 @@
     private void keepClientsIfAllowed() {
         if (!draining && !releasesClients()) {
             releasingSinceMs = Double.POSITIVE_INFINITY;
-            adminCommands.setReady(clients.listener() != null);
+            adminCommands.setReady(clientServer.listener() != null);
         }
     }
 
@@ -345,10 +346,10 @@
      *
      * @param exit ends this process; runs once the successor has served clients for its probation time
      */
-    Successor.Place place(Runnable exit) {
-        return new Successor.Place() {
+    Successor.ServingProcess handoverSteps(Runnable exit) {
+        return new Successor.ServingProcess() {
             @Override
-            public boolean release() throws InterruptedException {
+            public boolean handOver() throws InterruptedException {
                 loop.submit(() -> {
                     peerLink.stop();
                     deliver((now, events) -> events.onReplaced(now));
@@ -357,23 +358,23 @@
             }
 
             @Override
-            public void leave() throws InterruptedException {
-                loop.submit(clients::pause).sync();
+            public void stopAccepting() throws InterruptedException {
+                loop.submit(clientServer::pauseAccepting).sync();
                 loop.schedule(() -> {
                     replaced = true;
                     releasingSinceMs = Math.min(releasingSinceMs, clock.now());
                     adminCommands.setReady(false);
-                    clients.leave();
+                    clientServer.closeForSuccessor();
                 }, LOOP_ITERATION_MS, TimeUnit.MILLISECONDS).sync();
             }
 
             @Override
-            public void takeBack() throws InterruptedException {
+            public void resume() throws InterruptedException {
                 loop.submit(Node.this::resumeAfterHandover).sync();
             }
 
             @Override
-            public void end() {
+            public void shutDown() {
                 exit.run();
             }
         };
@@ -396,7 +397,7 @@
         if (draining || replaced) {
             return;
         }
-        clients.start().addListener(f -> {
+        clientServer.start().addListener(f -> {
             if (!f.isSuccess()) {
                 log("upgrade: can't reopen the listener after the new process failed, will retry: " + f.cause().getMessage());
                 loop.schedule(this::reopenListener, LISTEN_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
@@ -407,11 +408,11 @@
     /** Publishes the host counts, which only the event loop can compute, to the console. */
     private void publishHostCounts() {
         loop.schedule(this::publishHostCounts, HOST_COUNT_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        figures.cluster(adminCommands.listedHostCount(), avoided());
+        metrics.setHostCounts(adminCommands.listedHostCount(), avoidedHostCount());
     }
 
     /** Returns the number of listed hosts that get no requests now, or as few as possible. */
-    int avoided() {
+    int avoidedHostCount() {
         return engine.avoidedHostCount(clock.now());
     }
 
@@ -423,11 +424,11 @@
      */
     private void logActivity() {
         loop.schedule(this::logActivity, ACTIVITY_LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        extras.usageRecorder().look();
+        extensions.usageRecorder().onTick();
         String activity = engine.takeActivityLine(clock.now());
         if (!activity.isEmpty()) {
-            log("did " + activity + " clients=" + clients.connectionCount() + " late=" + Math.round(lag.ms()) + departures.takeCounts()
-                    + eventLog.takeCounts() + rules.text());
+            log("did " + activity + " clients=" + clientServer.connectionCount() + " late=" + Math.round(lag.ms()) + departures.takeCounts()
+                    + eventLog.takeCounts() + ruleCounter.text());
         }
     }
 
@@ -436,14 +437,14 @@
      * early: this gateway adds more capacity by serving at once than by serving later at full speed. A shutdown then keeps
      * client connections open for a while.
      */
-    boolean isMissed() {
-        return peerLink.hasHeard();
+    boolean hasHeardFromPeers() {
+        return peerLink.hasReceivedMessage();
     }
 
     /** Starts the decision engine with the hosts in the configuration and opens the listener. */
     ChannelFuture listen() {
         beginServing();
-        return clients.start();
+        return clientServer.start();
     }
 
     private void beginServing() {
@@ -453,28 +454,28 @@
         }
         lag.start();
         deliver((now, events) -> events.onStart(now, config.settings()));
-        double aloneSinceMs = peerLink.aloneSince();
+        double aloneSinceMs = peerLink.addressHeldSince();
         if (aloneSinceMs < Double.POSITIVE_INFINITY) {
             // No earlier incarnation of this gateway can have spent quota since then.
             deliver((now, events) -> events.onNoOtherSpenderSince(now, aloneSinceMs));
         }
         if (console != null) {
-            discovery.leaveOut(console.leftOut());
+            discovery.setExcludedHosts(console.excludedHosts());
             publishHostCounts();
         }
-        if (config.known().hasNonNull(Discovery.LIST)) {
-            discovery.known(config.known());
+        if (config.knownHosts().hasNonNull(Discovery.SERVERS_FIELD)) {
+            discovery.useKnownList(config.knownHosts());
         }
     }
 
     /** Replaces the datagram link to the other gateways. */
-    void usePeerSender(Mail other) {
+    void usePeerSender(PeerSender other) {
         peerSender = other;
     }
 
     /** Applies the settings that may change while clients are served; the others take effect at the next start. */
     void reload(NodeConfig newConfig) {
-        loop.execute(() -> discovery.move(newConfig.discovery()));
+        loop.execute(() -> discovery.changeAgent(newConfig.discovery()));
     }
 
     /** Writes a line to stderr, the log of the process. May be called from any thread. */
@@ -518,7 +519,7 @@
      * as that process is the same gateway.
      */
     boolean isHealthy() {
-        return !draining && !quiesced && discovery.ready();
+        return !draining && !quiesced && discovery.isReady();
     }
 
     /**
@@ -531,7 +532,7 @@
     }
 
     /** Whether a request with this id is open; a second one would receive the answer that belongs to the first. */
-    boolean knows(String id) {
+    boolean isRequestOpen(String id) {
         return openRequests.containsKey(id);
     }
 
@@ -539,10 +540,10 @@
     void onRequestReceived(Request request, FullHttpRequest message, ClientConnection client) {
         OpenRequest entry = new OpenRequest(request, message, client);
         openRequests.put(request.id(), entry);
-        figures.taken();
+        metrics.requestAccepted();
         client.setCurrentRequest(entry);
         double remainingMs = request.deadlineMs() - clock.now();
-        entry.deadlineTimer = loop.schedule(() -> deadline(request.id()), toMicros(remainingMs), TimeUnit.MICROSECONDS);
+        entry.deadlineTimer = loop.schedule(() -> onDeadline(request.id()), toMicros(remainingMs), TimeUnit.MICROSECONDS);
         deliver((now, events) -> events.onRequest(now, request));
     }
 
@@ -568,7 +569,7 @@
      * Ends the attempts of a request at its deadline. If the engine leaves the request open even then, it is answered here, so that
      * every request gets a final answer.
      */
-    void deadline(String id) {
+    void onDeadline(String id) {
         OpenRequest entry = openRequests.get(id);
         if (entry == null) {
             return;
@@ -593,7 +594,7 @@
     }
 
     private void timeOut(Attempt attempt) {
-        attempt.look();
+        attempt.readPending();
         // An answer that is being streamed may continue past the deadline.
         if (!attempt.ended && attempt != attempt.owner.streamingAttempt) {
             abandonAttempt(attempt, Outcome.TIMEOUT);
@@ -619,7 +620,7 @@
     /** Cancels attempts that are not completely written, whatever the cancel setting says: they must never reach a host whole. */
     private void cancelUnwritten(OpenRequest entry) {
         for (Attempt attempt : List.copyOf(entry.attempts)) {
-            if (!attempt.ended && !attempt.leftWhole()) {
+            if (!attempt.ended && !attempt.isRequestWritten()) {
                 abandonAttempt(attempt, Outcome.CANCELLED);
             }
         }
@@ -685,22 +686,23 @@
         entry.attemptsInFlight--;
         eventLog.attemptEnded(entry.request.id(), attempt.number, outcome);
         if (response != null) {
-            discovery.served(attempt.host);
+            discovery.recordResponse(attempt.host);
         }
         if (entry.streamingAttempt == attempt) {
-            figures.closed();
-            figures.ended(entry.request.requestClass(), outcome == Outcome.OK ? ServiceMetrics.End.ANSWERED : ServiceMetrics.End.ERRORED);
+            metrics.requestClosed();
+            metrics.requestAnswered(entry.request.requestClass(),
+                    outcome == Outcome.OK ? ServiceMetrics.End.ANSWERED : ServiceMetrics.End.ERRORED);
         }
         if (outcome == Outcome.OK) {
             ClientConnection client = closeRequest(entry);
             if (client != null) {
-                figures.ended(entry.request.requestClass(), ServiceMetrics.End.ANSWERED);
+                metrics.requestAnswered(entry.request.requestClass(), ServiceMetrics.End.ANSWERED);
                 client.sendHostAnswer(response);
             }
         }
         boolean closed = entry.isClosed();
         double tookMs = (attempt.streamedAtMs > 0 ? attempt.streamedAtMs : clock.now()) - attempt.sentAtMs;
-        double[] report = response == null ? NO_LOAD_REPORT : hostClient.report(response);
+        double[] report = response == null ? NO_LOAD_REPORT : hostClient.parseLoadReport(response);
         deliver((now, events) -> events.onAttemptEnded(now,
                 new AttemptResult(entry.request.id(), attempt.number, attempt.host, outcome, tookMs, closed, 0, 0, report)));
         removeIfFinished(entry);
@@ -708,9 +710,9 @@
 
     private ClientConnection closeRequest(OpenRequest entry) {
         if (!entry.isClosed()) {
-            figures.closed();
+            metrics.requestClosed();
             if (entry.client() != null && clock.now() > entry.request.deadlineMs() + LATE_ANSWER_LIMIT_MS) {
-                rules.broken(Rule.ANSWERED_LATE);
+                ruleCounter.countBreach(Rule.ANSWERED_LATE);
             }
         }
         return entry.close();
@@ -724,17 +726,17 @@
     }
 
     /** Passes a host list, or changes to it, to the connection pools, the console and the decision engine. */
-    void hostsTold(ListKind kind, List<Discovery.Entry> entries) {
-        hostClient.listed(kind, entries);
-        adminCommands.setListedHosts(discovery.listed());
+    void onHostsUpdated(ListKind kind, List<Discovery.Entry> entries) {
+        hostClient.updateHosts(kind, entries);
+        adminCommands.setListedHosts(discovery.listedHosts());
         List<Host> list = Discovery.hosts(entries);
-        hostStates.told(kind, list);
+        hostStates.update(kind, list);
         deliver((now, events) -> events.onHosts(now, kind, list));
-        hostClient.giveUpComingUp(entries);
+        hostClient.failPendingConnects(entries);
     }
 
     /** Passes a message from another gateway to the decision engine. */
-    void peerSaid(int peer, byte[] data) {
+    void onPeerMessage(int peer, byte[] data) {
         if (serving) {
             deliver((now, events) -> events.onPeerMessage(now, peer, data));
         }
@@ -753,7 +755,7 @@
         Attempt attempt = new Attempt(this, entry, host, now);
         entry.attempts.add(attempt);
         entry.attemptsInFlight++;
-        RequestBodyStream bodyStream = StreamedRequest.restOf(entry.message);
+        RequestBodyStream bodyStream = StreamedRequest.bodyStreamOf(entry.message);
         // A body that a host has begun to receive can't be sent to another one.
         boolean bodyPartlySent = bodyStream != null && !bodyStream.isUnclaimed();
         if (bodyPartlySent || sendingStopped || entry.isClosed() || now >= entry.request.deadlineMs()
@@ -762,7 +764,7 @@
             return;
         }
         if (attempt.number == 0) {
-            extras.usageRecorder().admitted(entry.request.customer(), entry.request.units());
+            extensions.usageRecorder().admitted(entry.request.customer(), entry.request.units());
         }
         if (timeoutMs > 0) {
             attempt.setTimeoutTimer(loop.schedule(() -> timeOut(attempt), toMicros(timeoutMs), TimeUnit.MICROSECONDS));
@@ -776,19 +778,19 @@
         if (attempt.number == 0) {
             return false;
         }
-        List<AttemptGuard.Earlier> earlierAttempts = new ArrayList<>();
+        List<AttemptGuard.EarlierAttempt> earlierAttempts = new ArrayList<>();
         for (Attempt earlier : attempt.owner.attempts) {
             if (earlier != attempt) {
-                earlierAttempts.add(new AttemptGuard.Earlier(earlier.outcome, earlier.sentAtMs, hostStates.host(earlier.host)));
+                earlierAttempts.add(new AttemptGuard.EarlierAttempt(earlier.outcome, earlier.sentAtMs, hostStates.host(earlier.host)));
             }
         }
         RequestClass requestClass = requestClass(attempt.owner.request);
-        Rule broken = AttemptGuard.brokenByRepeat(now, requestClass, config.settings().limits(), earlierAttempts,
+        Rule broken = AttemptGuard.ruleBrokenByRepeat(now, requestClass, config.settings().limits(), earlierAttempts,
                 hostStates.host(attempt.host));
         if (broken == null) {
             return false;
         }
-        rules.broken(broken);
+        ruleCounter.countBreach(broken);
         log("defect: a repeated attempt was not sent because it would have broken rule " + broken + "; request "
                 + attempt.owner.request.id());
         return true;
@@ -838,7 +840,7 @@
         ClientConnection client = entry == null ? null : closeRequest(entry);
         if (client != null) {
             boolean refused = status == HttpResponseStatus.TOO_MANY_REQUESTS;
-            figures.ended(entry.request.requestClass(), refused ? ServiceMetrics.End.DEFERRED : ServiceMetrics.End.ERRORED);
+            metrics.requestAnswered(entry.request.requestClass(), refused ? ServiceMetrics.End.DEFERRED : ServiceMetrics.End.ERRORED);
             client.sendStatus(status, retryAfterMs);
         }
         if (entry != null) {
@@ -861,13 +863,13 @@
     ServingGateway servingGateway() {
         return new ServingGateway() {
             @Override
-            public boolean mayProbe() {
+            public boolean allowsProbes() {
                 return config.settings().limits().probes();
             }
 
             @Override
-            public void listed(Consumer<Set<String>> to) {
-                loop.execute(() -> to.accept(discovery.listed()));
+            public void listHosts(Consumer<Set<String>> to) {
+                loop.execute(() -> to.accept(discovery.listedHosts()));
             }
 
             @Override
@@ -876,34 +878,34 @@
             }
 
             @Override
-            public void evidence(String host, Outcome outcome, double tookMs, double ageMs) {
+            public void reportProbeResult(String host, Outcome outcome, double tookMs, double ageMs) {
                 loop.execute(() -> deliver((now, events) -> events.onProbeResult(now - ageMs, host, outcome, tookMs, new double[0])));
             }
         };
     }
 
     /** Records that an attempt is about to be written to its host, and counts each rule that this violates. */
-    void leaves(Attempt attempt) {
+    void beforeSend(Attempt attempt) {
         attempt.writeStarted = true;
         double now = clock.now();
         departures.recordSend(now - attempt.owner.disconnectedAtMs);
         if (now - attempt.owner.disconnectedAtMs > ClientDepartureCounters.SEND_GRACE_MS) {
-            rules.broken(Rule.SENT_FOR_LEFT_CLIENT);
+            ruleCounter.countBreach(Rule.SENT_FOR_LEFT_CLIENT);
         }
         double grace = config.settings().rules().drainGraceMs();
         if (grace > 0 && AttemptGuard.isDrained(now, hostStates.state(attempt.host), hostStates.sinceMs(attempt.host), grace)) {
-            rules.broken(Rule.SENT_TO_DRAINING);
+            ruleCounter.countBreach(Rule.SENT_TO_DRAINING);
         }
         if (now > attempt.owner.request.deadlineMs()) {
-            rules.broken(Rule.SENT_AFTER_DEADLINE);
+            ruleCounter.countBreach(Rule.SENT_AFTER_DEADLINE);
         }
         if (attempt.owner.isClosed()) {
-            rules.broken(Rule.SENT_AFTER_ANSWER);
+            ruleCounter.countBreach(Rule.SENT_AFTER_ANSWER);
         }
     }
 
-    SharedListFetch lists() {
-        return extras.sharedListFetch();
+    SharedListFetch sharedListFetch() {
+        return extensions.sharedListFetch();
     }
 
     @Override
@@ -930,11 +932,11 @@
      * has come with requests still open; the process then exits at once.
      */
     private void drainAndHalt() {
-        long exitNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) shutdownSchedule.exitsMs());
+        long exitNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) shutdownSchedule.exitMs());
         loop.execute(this::drain);
         try {
-            awaitDrained((long) shutdownSchedule.exitsMs());
-            if (isMissed() && !replaced && !endedBeforeServing) {
+            awaitDrained((long) shutdownSchedule.exitMs());
+            if (hasHeardFromPeers() && !replaced && !endedBeforeServing) {
                 log("drained: the process stays until its scheduled exit time, because it holds quota ledgers for other gateways");
                 TimeUnit.NANOSECONDS.sleep(exitNanos - System.nanoTime());
             }
@@ -945,20 +947,20 @@
     }
 
     /**
-     * Starts the shutdown. New connections are accepted until {@link ShutdownSchedule#acceptsMs}, because clients still arrive,
+     * Starts the shutdown. New connections are accepted until {@link ShutdownSchedule#acceptUntilMs}, because clients still arrive,
      * and every request is answered; then the process may exit. A gateway that has received messages from other gateways keeps
-     * serving open connections until {@link ShutdownSchedule#staysMs}: the platform starts the replacement no sooner if this
+     * serving open connections until {@link ShutdownSchedule#keepClientsUntilMs}: the platform starts the replacement no sooner if this
      * process ends earlier, so an earlier end would only reduce capacity. Otherwise, and if clients are being released already,
      * every answer closes its connection from now on. A process that has not served yet may exit at once.
      */
     void drain() {
-        if (clients.listener() == null && !replaced) {
+        if (clientServer.listener() == null && !replaced) {
             draining = true;
             endedBeforeServing = true;
             drained.countDown();
             return;
         }
-        drainAfter(isMissed() && !releasesClients() ? shutdownSchedule.staysMs() : 0);
+        drainAfter(hasHeardFromPeers() && !releasesClients() ? shutdownSchedule.keepClientsUntilMs() : 0);
     }
 
     /** @param stayMs for how long clients may send further requests on open connections */
@@ -967,21 +969,22 @@
         draining = true;
         adminCommands.setReady(false);
         if (stayMs <= 0) {
-            leave();
+            releaseClients();
         } else {
-            loop.schedule(this::leave, toMicros(stayMs), TimeUnit.MICROSECONDS);
+            loop.schedule(this::releaseClients, toMicros(stayMs), TimeUnit.MICROSECONDS);
         }
-        loop.schedule(clients::stopAccepting, toMicros(shutdownSchedule.acceptsMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(clientServer::stopAccepting, toMicros(shutdownSchedule.acceptUntilMs()), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
-            clients.giveUpIdle();
+            clientServer.closeIdleConnections();
             awaitEmpty();
-        }, toMicros(Math.max(shutdownSchedule.acceptsMs() + DRAIN_POLL_MS, stayMs)), TimeUnit.MICROSECONDS);
-        loop.schedule(this::endAll, toMicros(shutdownSchedule.endsMs()), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> deliver((now, events) -> events.onShutdown(now)), toMicros(shutdownSchedule.saysMs()), TimeUnit.MICROSECONDS);
+        }, toMicros(Math.max(shutdownSchedule.acceptUntilMs() + DRAIN_POLL_MS, stayMs)), TimeUnit.MICROSECONDS);
+        loop.schedule(this::endAllRequests, toMicros(shutdownSchedule.abandonMs()), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> deliver((now, events) -> events.onShutdown(now)), toMicros(shutdownSchedule.peerFarewellMs()),
+                TimeUnit.MICROSECONDS);
     }
 
     /** Makes every answer close its connection from now on; the trace calls this state "leaving". */
-    void leave() {
+    void releaseClients() {
         eventLog.state("leaving");
         releasingClients = true;
         releasingSinceMs = Math.min(releasingSinceMs, clock.now());
@@ -991,7 +994,7 @@
      * Ends every attempt, except one whose answer is being streamed to a client, and answers every open request. Later requests
      * are refused. The trace calls this state "over".
      */
-    void endAll() {
+    void endAllRequests() {
         eventLog.state("over");
         sendingStopped = true;
         for (OpenRequest entry : List.copyOf(openRequests.values())) {
@@ -1015,10 +1018,10 @@
     }
 
     private void awaitEmpty() {
-        if (openRequests.isEmpty() && clients.hasNoConnections()) {
+        if (openRequests.isEmpty() && clientServer.hasNoConnections()) {
             drained.countDown();
         } else {
-            clients.giveUpIdle(); // also closes connections that were new, or had received a request, at the last check
+            clientServer.closeIdleConnections(); // also closes connections that were new, or had received a request, at the last check
             loop.schedule(this::awaitEmpty, DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -1030,26 +1033,26 @@
 
     /** Returns the port of the listener, for configurations that let the system choose it. */
     int port() {
-        return ((InetSocketAddress) clients.listener().localAddress()).getPort();
+        return ((InetSocketAddress) clientServer.listener().localAddress()).getPort();
     }
 
     /** Returns the number of open client connections. */
-    int connections() {
-        return clients.connectionCount();
+    int connectionCount() {
+        return clientServer.connectionCount();
     }
 
     /** Returns the number of requests in the table of open requests. */
-    int openRequests() {
+    int openRequestCount() {
         return openRequests.size();
     }
 
     /** Whether a client connection has output that could not be written to its socket. */
-    boolean hasUnsent() {
-        return clients.hasUnsentOutput();
+    boolean hasUnsentOutput() {
+        return clientServer.hasUnsentOutput();
     }
 
     /** Returns the address of the console, for configurations that let the system choose the port. */
-    InetSocketAddress console() {
+    InetSocketAddress consoleAddress() {
         return console.address();
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -146,11 +146,11 @@
 
     /**
      * Records that 100 Continue is sent. The client could not send its body before, so that at most
-     * {@link ClientProgress#WAITED_MS} of the time until now counts against its time limits.
+     * {@link ClientProgress#CHARGED_WAIT_MS} of the time until now counts against its time limits.
      */
     void continueSent() {
         expectsContinue = false;
-        double latestMs = clock.now() - ClientProgress.WAITED_MS;
+        double latestMs = clock.now() - ClientProgress.CHARGED_WAIT_MS;
         requestSinceMs = Math.max(requestSinceMs, latestMs);
         lastReadMs = Math.max(lastReadMs, latestMs);
     }
@@ -224,7 +224,7 @@
             refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (bodyStream == null && bodyBytes > ClientServer.MAX_BODY) {
+        if (bodyStream == null && bodyBytes > ClientServer.MAX_BUFFERED_BODY_BYTES) {
             bodyStream = new RequestBodyStream(HttpUtil.getContentLength(head, -1L), updateReading);
             ByteBuf bufferedBody = body;
             body = Unpooled.EMPTY_BUFFER;
@@ -242,7 +242,7 @@
             ctx.fireUserEventTriggered(new BodyReceived(completedBody));
             return;
         }
-        body = joined(ctx, body, content.content());
+        body = joinBuffers(ctx, body, content.content());
         if (content instanceof LastHttpContent) {
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
                     head.uri(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
@@ -261,7 +261,7 @@
     }
 
     /** Joins two parts of a body without a copy. Takes ownership of the first part and retains the second. */
-    static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
+    static ByteBuf joinBuffers(ChannelHandlerContext ctx, ByteBuf body, ByteBuf part) {
         if (!part.isReadable()) {
             return body;
         }
--- a/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
@@ -34,32 +34,32 @@
     static final long PROBATION_MS = 10_000;
 
     /**
-     * What the running process does at the steps of an upgrade. Called on one thread: {@link #release} first, then {@link #leave}
-     * once the new process serves, then {@link #end}. {@link #takeBack} takes the place of the remaining steps if the new process
+     * What the running process does at the steps of an upgrade. Called on one thread: {@link #handOver} first, then {@link #stopAccepting}
+     * once the new process serves, then {@link #shutDown}. {@link #resume} takes the place of the remaining steps if the new process
      * fails. Each call blocks until the step is done.
      */
-    public interface Place {
+    public interface ServingProcess {
         /**
          * Stops the communication with peers and the accounting of quotas, which the new process continues. Returns whether this
          * process is quiesced, that is, releases its clients to other gateways on an operator's command.
          */
-        boolean release() throws InterruptedException;
+        boolean handOver() throws InterruptedException;
 
         /** Stops accepting clients, as the new process accepts them. */
-        void leave() throws InterruptedException;
+        void stopAccepting() throws InterruptedException;
 
         /**
-         * Restores the state before {@link #release}, except for quota that has refilled since. Called when the new process has
+         * Restores the state before {@link #handOver}, except for quota that has refilled since. Called when the new process has
          * ended, has not reported in time that it serves, or its connection has failed before that.
          */
-        void takeBack() throws InterruptedException;
+        void resume() throws InterruptedException;
 
         /** Ends this process, because the new process has served for the probation time. */
-        void end();
+        void shutDown();
     }
 
     private final Path path;
-    private final Place servingProcess;
+    private final ServingProcess servingProcess;
     private final Consumer<String> log;
     private final long probationMs;
     private ServerSocketChannel listener;
@@ -71,12 +71,12 @@
      * @param path of the socket; an existing file is replaced
      * @param log receives one line for each step and for each failure
      */
-    public Successor(Path path, Place servingProcess, Consumer<String> log) {
+    public Successor(Path path, ServingProcess servingProcess, Consumer<String> log) {
         this(path, servingProcess, log, PROBATION_MS);
     }
 
     /** As above, with a probation time in milliseconds. */
-    Successor(Path path, Place servingProcess, Consumer<String> log, long probationMs) {
+    Successor(Path path, ServingProcess servingProcess, Consumer<String> log, long probationMs) {
         this.probationMs = probationMs;
         this.path = path;
         this.servingProcess = servingProcess;
@@ -157,12 +157,12 @@
             log.accept("upgrade: the new process ended before it took over, or took too long; this process continues to serve");
             return;
         }
-        boolean quiesced = servingProcess.release();
+        boolean quiesced = servingProcess.handOver();
         boolean stoppedAccepting = false;
         try {
             handover.send(quiesced ? TAKEN_AWAY : TAKEN);
             if (SERVING.equals(handover.receive(SERVING_TIMEOUT_MS))) {
-                servingProcess.leave();
+                servingProcess.stopAccepting();
                 stoppedAccepting = true;
                 handover.send(LEFT);
                 log.accept("upgrade: the new process serves clients, and this process has stopped accepting them");
@@ -172,11 +172,11 @@
             log.accept("upgrade: connection to the new process failed: " + e);
         }
         if (stoppedAccepting && !handover.isEnded()) {
-            servingProcess.end();
+            servingProcess.shutDown();
         } else {
             log.accept("upgrade: the new process " + (stoppedAccepting ? "has ended" : "did not report that it serves")
                     + "; this process takes back its peer communication and quota accounting and continues to serve");
-            servingProcess.takeBack();
+            servingProcess.resume();
             bind(); // the new process may have replaced the socket file
         }
     }
