--- a/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
@@ -176,7 +176,7 @@
             awaitReady();
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
             process.destroy();
-            awaitLog("drained: keeps quota ledgers");
+            awaitLog("drained: the process stays until its scheduled exit time");
             assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         }
@@ -193,7 +193,7 @@
             startServing();
             for (Sockets.DiscoveryAgent next : List.of(first, second, first)) {
                 reloadWith("{\"name\": \"n0\"}");
-                awaitLog("the settings stay as they were");
+                awaitLog("the previous settings stay in use");
                 assertTrue(isReady());
                 reloadWith(config(next.server.address()));
                 assertEquals("GET /v1/servers HTTP/1.1", next.server.next().startLine());
@@ -263,7 +263,7 @@
             startServing();
             String whole = config(first.server.address());
             reloadWith(whole.substring(0, whole.length() / 2));
-            awaitLog("the settings stay as they were");
+            awaitLog("the previous settings stay in use");
             Files.writeString(dir.resolve("config.json"), whole);
             assertNotNull(first.server.next());
             Files.delete(dir.resolve("config.json"));
@@ -328,14 +328,14 @@
         Process killedProcess = startSecondProcess("killed");
         Process fresh = null;
         try {
-            awaitLog("upgrade: the new process serves");
+            awaitLog("upgrade: the new process serves clients, and this process has stopped accepting them");
             assertTrue(isReady());
             killedProcess.destroyForcibly();
-            awaitLog("the place is taken back");
+            awaitLog("this process takes back its peer communication and quota accounting");
             awaitReady();
             fresh = startSecondProcess("fresh");
             long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sockets.TIMEOUT_MS);
-            while (Files.readString(dir.resolve("log")).split("the new process serves", -1).length < 3) {
+            while (Files.readString(dir.resolve("log")).split("the new process serves clients", -1).length < 3) {
                 assertTrue(System.nanoTime() < deadline && fresh.isAlive(), "the old process was not replaced");
                 Thread.sleep(20);
             }
@@ -370,7 +370,7 @@
                 assertNotNull(agent.next());
                 terminated.destroy();
                 assertTrue(terminated.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-                awaitLog("did not come to serve, the place is taken back");
+                awaitLog("did not report that it serves; this process takes back its peer communication and quota accounting");
                 assertTrue(isReady());
                 assertFalse(Files.readString(dir.resolve("ended")).contains("serves after"));
             } finally {
@@ -417,7 +417,7 @@
         Node predecessor = Sockets.startNode(config);
         try (Successor successor = new Successor(RuntimeDirectory.ofEarlierVersion(tmp.toString(), "n0").successorSocket(),
                 predecessor.handoverSteps(() -> { }), line -> {
-            if (line.equals("upgrade: the new process serves")) {
+            if (line.equals("upgrade: the new process serves clients, and this process has stopped accepting them")) {
                 replaced.countDown();
             }
         })) {
--- a/gateway/src/test/java/marlford/gateway/net/NodeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/NodeTest.java
@@ -467,7 +467,7 @@
         return node;
     }
 
-    /** A request that the engine drops or fails on is failed, not refused: it may have run (rules 1 and 2). */
+    /** A request that the engine leaves open or throws on is answered with a failure, not a refusal, because it may have run. */
     @Test
     void anEngineThatThrowsLosesNoAnswer() throws Exception {
         Node node = startNodeWithEngine(actions -> new ScriptedEngine((now, r) -> {
