--- a/gateway/src/main/java/marlford/gateway/DecisionEngine.java
+++ b/gateway/src/main/java/marlford/gateway/DecisionEngine.java
@@ -254,7 +254,7 @@
     private double messageBudget; // messages that may be sent now
     private double donationIntervalMs = MIN_DONATION_INTERVAL_MS;
     private double replacedAt = Double.POSITIVE_INFINITY; // when another process of this gateway took over
-    private boolean requestsWaited; // all slots were in use at some time since the last check of the weights
+    private boolean allSlotsUsed; // all slots were in use at some time since the last check of the weights
     private int attemptsInFlight; // those that hold a slot
     private int latencySamples; // since the last adaptation of the slots, as are the three sums below
     private double slotsPerHost = INITIAL_SLOTS_PER_HOST; // of all gateways together
@@ -1200,7 +1200,7 @@
             if (next == null) return;
             if (!releaseOne(now, next)) stuck.add(next);
         }
-        requestsWaited = true;
+        allSlotsUsed = true;
     }
 
     /** Sends the first queued request of a class for which a host may be used; false if there is none. */
@@ -1321,7 +1321,7 @@
                     && goalShareSum > HARMLESS_GOAL_SHARE * latencySamples
                     || goalShareSum > QUEUEING_GOAL_SHARE * latencySamples;
             if (queueing) slotsPerHost = Math.max(MIN_SLOTS_PER_HOST, slotsPerHost * SLOT_CUT_FACTOR);
-            else if (requestsWaited) {
+            else if (allSlotsUsed) {
                 slotsPerHost = Math.min(MAX_SLOTS_PER_HOST, slotsPerHost * SLOT_GROWTH_FACTOR);
             }
         }
@@ -1357,11 +1357,11 @@
         }
         if (now - lastDonationAt < donationIntervalMs) return;
         lastDonationAt = now;
-        if (requestsWaited) classes.values().forEach(DecisionEngine::measureSlope);
-        boolean donated = requestsWaited && donateWeight(new ArrayList<>(classes.values()));
+        if (allSlotsUsed) classes.values().forEach(DecisionEngine::measureSlope);
+        boolean donated = allSlotsUsed && donateWeight(new ArrayList<>(classes.values()));
         donationIntervalMs = donated ? Math.min(MAX_DONATION_INTERVAL_MS, donationIntervalMs * 2)
                 : MIN_DONATION_INTERVAL_MS;
-        requestsWaited = false;
+        allSlotsUsed = false;
     }
 
     /**
--- a/gateway/src/main/java/marlford/gateway/console/Console.java
+++ b/gateway/src/main/java/marlford/gateway/console/Console.java
@@ -52,7 +52,7 @@
     private final Map<String, Supplier<String>> pages;
     private final Consumer<String> log;
     private final ExcludedHosts excludedHosts;
-    private volatile Set<String> currentHosts; // the excluded hosts: an immutable copy for other threads
+    private volatile Set<String> currentExclusions; // the excluded hosts: an immutable copy for other threads
     private final LinkedHashSet<Channel> awaitingRequest = new LinkedHashSet<>(); // without a complete request; the oldest first
     private int connections;
     private NioEventLoopGroup group;
@@ -72,12 +72,12 @@
         this.pages = Map.copyOf(pages);
         this.log = log;
         this.excludedHosts = new ExcludedHosts(folder, log);
-        this.currentHosts = excludedHosts.hosts();
+        this.currentExclusions = excludedHosts.hosts();
     }
 
     /** Returns the hosts that operators have excluded. May be called from any thread. */
     public Set<String> excludedHosts() {
-        return currentHosts;
+        return currentExclusions;
     }
 
     /** Opens the listener; requests are answered once this has returned. */
@@ -128,8 +128,8 @@
     }
 
     private void onExclusionChanged(String reason) {
-        currentHosts = excludedHosts.hosts();
-        log.accept("console: excluded hosts: " + currentHosts + ", " + reason);
+        currentExclusions = excludedHosts.hosts();
+        log.accept("console: excluded hosts: " + currentExclusions + ", " + reason);
         commands.excludedHostsChanged();
     }
 
@@ -234,6 +234,6 @@
     }
 
     private boolean isKnownHost(String host) {
-        return !host.isEmpty() && (commands.isListedHost(host) || currentHosts.contains(host));
+        return !host.isEmpty() && (commands.isListedHost(host) || currentExclusions.contains(host));
     }
 }
--- a/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
+++ b/gateway/src/main/java/marlford/gateway/net/ClientConnection.java
@@ -70,7 +70,7 @@
     private final Runnable processNext = this::processNext;
     private long queuedBytes;
     private double lastSeenMs; // last time at which the client was certainly connected
-    private boolean readingPaused; // reading has paused since the socket was last read to its end, so input may have waited in it
+    private boolean inputMayBeStale; // reading has paused since the socket was last read to its end, so input may have waited in it
     private long unsentBytes; // output that was not yet written to the socket at the last check
     private double outputProgressMs; // last time at which output was seen to be written
     private boolean inputHidden; // more input is unread than may be read ahead
@@ -84,7 +84,7 @@
     private int engineRequests; // requests passed to the decision engine
     private int badRequests;
     private Runnable onWritable; // resumes the answer that is being streamed; null when there is none
-    private boolean paused; // reading is paused for BAD_REQUEST_PAUSE_MS after repeated bad requests; false in other pauses
+    private boolean badRequestPause; // reading is paused for BAD_REQUEST_PAUSE_MS after repeated bad requests; false in other pauses
     private RequestBodyStream upload; // rest of the current request's body; null when the body is buffered completely
     private boolean answered; // the current request is answered, although more of its body may follow
     private CloseReason closeReason; // null until this side closes the connection
@@ -222,7 +222,7 @@
 
     /** Ends the connection if the client has stopped sending or reading: with status 408 where one can be sent. */
     void endIfStopped() {
-        if (!paused && !(channel.config().isAutoRead() && reader.isDrained())) {
+        if (!badRequestPause && !(channel.config().isAutoRead() && reader.isDrained())) {
             readToEnd(); // a client is not judged as stopped while its socket may hold unread input
         }
         if (judge() == Stall.NO) {
@@ -305,7 +305,7 @@
         }
         receivedMessages++;
         enqueue(message);
-        if (!readingPaused) {
+        if (!inputMayBeStale) {
             lastSeenMs = node.clock.now() - node.lag.ms(); // the input may have waited in the socket while the loop lagged
         }
         if (isPresenceOutdated()) {
@@ -318,7 +318,7 @@
 
     private void enqueue(Object message) {
         double now = node.clock.now();
-        double lateMs = Math.max(node.lag.ms(), reader.unreadMs()); // longest time that the message may have waited in its socket
+        double lateMs = Math.max(node.lag.ms(), reader.currentPauseMs()); // longest time that the message may have waited in its socket
         if (receivedMessages == 1 && now - idleSinceMs < JUST_OPENED_MS) { // it may have arrived together with the connection
             lateMs = Math.max(lateMs, waitedMs + now - idleSinceMs);
         }
@@ -375,11 +375,11 @@
      */
     private void updateReading() {
         boolean bodyTooFast = upload != null && upload.isFull() || isLongBodyAhead();
-        boolean mayRead = !paused && !bodyTooFast && queue.size() < MAX_QUEUED_REQUESTS;
+        boolean mayRead = !badRequestPause && !bodyTooFast && queue.size() < MAX_QUEUED_REQUESTS;
         if (!mayRead && channel.config().isAutoRead()) {
             reader.pause();
         }
-        readingPaused |= !mayRead;
+        inputMayBeStale |= !mayRead;
         channel.config().setAutoRead(mayRead);
         if (answered && upload != null && upload.isComplete()) {
             completeRequest();
@@ -416,7 +416,7 @@
             if (channel.isActive() && nothingRead) {
                 reader.markDrained();
                 lastSeenMs = node.clock.now();
-                readingPaused = false;
+                inputMayBeStale = false;
                 return Presence.CONNECTED;
             }
         }
@@ -482,13 +482,13 @@
 
     /** Limits the processor time spent on a client that keeps sending requests that can't be served; each is still answered. */
     private void onBadRequest() {
-        if (++badRequests < BAD_REQUEST_LIMIT || paused) {
+        if (++badRequests < BAD_REQUEST_LIMIT || badRequestPause) {
             return;
         }
-        paused = true;
+        badRequestPause = true;
         updateReading();
         node.loop.schedule(() -> {
-            paused = false;
+            badRequestPause = false;
             if (!ended) {
                 updateReading();
             }
--- a/gateway/src/main/java/marlford/gateway/net/HostListParser.java
+++ b/gateway/src/main/java/marlford/gateway/net/HostListParser.java
@@ -22,8 +22,8 @@
             .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(MAX_STRING_CHARS).build()).build();
     private static final int MAX_INVALID_ENTRIES_LOGGED = 5; // invalid entries that are logged one by one; the others are only counted
 
-    /** Where in the document the parser is: LIST is the outer object, SERVERS its array of entries. */
-    private enum Position { START, LIST, SERVERS, ENTRY, END }
+    /** Where in the document the parser is: DOCUMENT is the outer object, SERVERS its array of entries. */
+    private enum Position { START, DOCUMENT, SERVERS, ENTRY, END }
 
     private final int maxHosts;
     private final JsonParser parser;
@@ -87,7 +87,7 @@
         }
         switch (position) {
             case START -> onStart(token);
-            case LIST -> onListToken(token);
+            case DOCUMENT -> onListToken(token);
             case SERVERS -> onServersToken(token);
             case ENTRY -> onEntryToken(token);
             default -> throw new IllegalStateException("token after the end of the document");
@@ -98,7 +98,7 @@
         if (token != JsonToken.START_OBJECT) {
             throw new UnreadableListException("the list of hosts is not a JSON object");
         }
-        position = Position.LIST;
+        position = Position.DOCUMENT;
     }
 
     private void onListToken(JsonToken token) throws IOException {
@@ -120,7 +120,7 @@
 
     private void onServersToken(JsonToken token) throws IOException {
         if (token == JsonToken.END_ARRAY) {
-            position = Position.LIST;
+            position = Position.DOCUMENT;
         } else if (token == JsonToken.START_OBJECT) {
             entry.reset();
             position = Position.ENTRY;
--- a/gateway/src/main/java/marlford/gateway/net/Node.java
+++ b/gateway/src/main/java/marlford/gateway/net/Node.java
@@ -37,8 +37,8 @@
 import marlford.gateway.start.ProcessStartTime;
 import marlford.gateway.start.StartBudget;
 import marlford.gateway.start.StartBudget.Step;
-import marlford.gateway.upgrade.Predecessor;
-import marlford.gateway.upgrade.Successor;
+import marlford.gateway.upgrade.HandoverClient;
+import marlford.gateway.upgrade.HandoverServer;
 
 /**
  * One api gateway process: the event loop that runs all request handling, the clock, the timers, the decision engine
@@ -174,12 +174,12 @@
             GatewayExtensions extras) throws NodeConfig.BadConfig, IOException, InterruptedException {
         NodeConfig config = reloader.first();
         RuntimeDirectory runtimeDirectory = RuntimeDirectory.in(folder, config.name(), config.listen());
-        Predecessor predecessor = runtimeDirectory == null ? null
-                : Predecessor.find(runtimeDirectory.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
+        HandoverClient predecessor = runtimeDirectory == null ? null
+                : HandoverClient.find(runtimeDirectory.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
         // The address may be held by a process of an earlier version or by an unrelated program.
         if (runtimeDirectory != null && predecessor == null && !Transport.TCP.isFree(config.listen())) {
             RuntimeDirectory earlierVersion = RuntimeDirectory.ofEarlierVersion(folder, config.name());
-            predecessor = Predecessor.find(earlierVersion.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
+            predecessor = HandoverClient.find(earlierVersion.successorSocket(), budget.limitMs(Step.PREDECESSOR_REPLY));
             runtimeDirectory = predecessor == null ? runtimeDirectory
                     : new RuntimeDirectory(earlierVersion.excludedHosts(), runtimeDirectory.successorSocket());
         }
@@ -219,7 +219,7 @@
         if (runtimeDirectory != null) {
             // On its own thread, because System.exit runs the shutdown hook that drains the node and never returns.
             Runnable exit = () -> new Thread(() -> System.exit(0)).start();
-            new Successor(runtimeDirectory.successorSocket(), node.handoverSteps(exit), Node::log).open();
+            new HandoverServer(runtimeDirectory.successorSocket(), node.handoverSteps(exit), Node::log).open();
         }
         return node;
     }
@@ -242,7 +242,7 @@
      * @param predecessor the process that has served clients until now; null when there is none
      * @param budget time limits of the remaining steps
      */
-    boolean start(Predecessor predecessor, StartBudget budget) throws IOException {
+    boolean start(HandoverClient predecessor, StartBudget budget) throws IOException {
         openConsole(null);
         CountDownLatch listReceived = new CountDownLatch(1);
         try {
@@ -346,8 +346,8 @@
      *
      * @param exit ends this process; runs once the successor has served clients for its probation time
      */
-    Successor.ServingProcess handoverSteps(Runnable exit) {
-        return new Successor.ServingProcess() {
+    HandoverServer.ServingProcess handoverSteps(Runnable exit) {
+        return new HandoverServer.ServingProcess() {
             @Override
             public boolean handOver() throws InterruptedException {
                 loop.submit(() -> {
--- a/gateway/src/main/java/marlford/gateway/net/RequestReader.java
+++ b/gateway/src/main/java/marlford/gateway/net/RequestReader.java
@@ -64,7 +64,8 @@
     private boolean drained = true; // as far as is known, all input that has arrived was read
     private double pausedSinceMs; // since when the socket may hold unread input
     private long receivedBytesAtPause;
-    private double unseenMs; // how long the latest input may have waited in the socket during the last completed pause of reading
+    // how long the latest input may have waited in the socket during the last completed pause of reading
+    private double pauseBeforeLastReadMs;
     private boolean reading; // the latest input is still being passed on
 
     /** @param updateReading called when reading may have to pause or resume */
@@ -87,7 +88,7 @@
                 return;
             }
             lastReadMs = clock.now();
-            unseenMs = drained ? 0 : unseenMs;
+            pauseBeforeLastReadMs = drained ? 0 : pauseBeforeLastReadMs;
             if (requestSinceMs == NONE) {
                 requestSinceMs = lastReadMs;
             }
@@ -127,7 +128,7 @@
     /** Returns the state of the input, from which the progress of the client is judged. */
     ClientProgress.Input input() {
         Part part = requestSinceMs == NONE ? Part.NONE : head == null ? Part.HEAD : Part.BODY;
-        return new ClientProgress.Input(part, requestSinceMs, lastReadMs, unseenMs, bodyBytes, drained);
+        return new ClientProgress.Input(part, requestSinceMs, lastReadMs, pauseBeforeLastReadMs, bodyBytes, drained);
     }
 
     /** Records that reading pauses: from now on the socket may hold input that is not known here. */
@@ -161,7 +162,7 @@
     }
 
     /** Returns how long the input being read may have waited in the socket in the current pause of reading, in ms; 0 without one. */
-    double unreadMs() {
+    double currentPauseMs() {
         return drained ? 0 : clock.now() - pausedSinceMs;
     }
 
@@ -173,8 +174,8 @@
         drained = true;
         if (receivedBytes > receivedBytesAtPause) {
             double now = clock.now();
-            unseenMs = now - pausedSinceMs;
-            requestSinceMs = requestSinceMs == NONE ? NONE : Math.min(now, requestSinceMs + unseenMs);
+            pauseBeforeLastReadMs = now - pausedSinceMs;
+            requestSinceMs = requestSinceMs == NONE ? NONE : Math.min(now, requestSinceMs + pauseBeforeLastReadMs);
         }
     }
 
--- a/gateway/src/main/java/marlford/gateway/net/StartupRehearsal.java
+++ b/gateway/src/main/java/marlford/gateway/net/StartupRehearsal.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import marlford.gateway.start.StartBudget;
-import marlford.gateway.upgrade.Predecessor;
+import marlford.gateway.upgrade.HandoverClient;
 
 /**
  * Runs a node for a short time as its own host, peer and discovery agent, so that each part is executed once. The build
@@ -84,7 +84,7 @@
                 exchange(console, request);
             }
             Path successorSocket = RuntimeDirectory.in(folder.toString(), GATEWAY_NAME, address).successorSocket();
-            Predecessor.find(successorSocket, TIME_LIMIT_MS).close(); // like a successor process that ends before the handover
+            HandoverClient.find(successorSocket, TIME_LIMIT_MS).close(); // like a successor process that ends before the handover
         } finally {
             node.stop(); // otherwise its threads would keep the build running
             Files.delete(file);
--- a/gateway/src/main/java/marlford/gateway/upgrade/Predecessor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/HandoverClient.java
@@ -12,14 +12,14 @@
 import marlford.gateway.accept.Backoff;
 
 /** The client side of an upgrade, used by the new process: requests the steps from the process that serves. Not thread-safe. */
-public final class Predecessor implements Closeable {
+public final class HandoverClient implements Closeable {
     private static final long MIN_CONNECT_RETRY_DELAY_MS = 5;
     private static final long MAX_CONNECT_RETRY_DELAY_MS = 100;
 
     private final HandoverChannel handover;
     private boolean quiesced; // whether the other process was quiesced, that is, released its clients to other gateways
 
-    private Predecessor(HandoverChannel handover) {
+    private HandoverClient(HandoverChannel handover) {
         this.handover = handover;
     }
 
@@ -30,7 +30,7 @@
      * @throws IOException if a process answers that this version cannot take over from, or one does not answer in time; the other
      *     process is not affected
      */
-    public static Predecessor find(Path path, long waitMs) throws IOException, InterruptedException {
+    public static HandoverClient find(Path path, long waitMs) throws IOException, InterruptedException {
         return find(path, waitMs, SocketChannel::open);
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** As above, with a replaceable way to connect. */
-    static Predecessor find(Path path, long waitMs, Connector connector) throws IOException, InterruptedException {
+    static HandoverClient find(Path path, long waitMs, Connector connector) throws IOException, InterruptedException {
         if (!Files.exists(path)) {
             return null;
         }
@@ -50,14 +50,14 @@
         }
         HandoverChannel handover = new HandoverChannel(channel);
         try {
-            handover.send(Successor.VERSION_LINE);
+            handover.send(HandoverServer.VERSION_LINE);
         } catch (IOException e) {
             handover.close();
             return null;
         }
         String reply = handover.receive(waitMs);
-        if (Successor.VERSION_LINE.equals(reply)) {
-            return new Predecessor(handover);
+        if (HandoverServer.VERSION_LINE.equals(reply)) {
+            return new HandoverClient(handover);
         }
         boolean gone = handover.isEnded() && reply == null;
         handover.close();
@@ -99,7 +99,7 @@
      */
     public boolean takeOver(long waitMs) throws IOException, InterruptedException {
         try {
-            handover.send(Successor.TAKE);
+            handover.send(HandoverServer.TAKE);
         } catch (IOException e) {
             return false;
         }
@@ -107,8 +107,8 @@
         if (answer == null && handover.isEnded()) {
             return false;
         }
-        quiesced = Successor.TAKEN_AWAY.equals(answer);
-        if (!quiesced && !Successor.TAKEN.equals(answer)) {
+        quiesced = HandoverServer.TAKEN_AWAY.equals(answer);
+        if (!quiesced && !HandoverServer.TAKEN.equals(answer)) {
             throw new IOException("the running process did not hand over; its answer: " + answer);
         }
         return true;
@@ -126,11 +126,11 @@
      */
     public boolean reportServing(long waitMs) throws InterruptedException {
         try {
-            handover.send(Successor.SERVING);
+            handover.send(HandoverServer.SERVING);
         } catch (IOException e) {
             return true;
         }
-        return Successor.LEFT.equals(handover.receive(waitMs)) || handover.isEnded();
+        return HandoverServer.LEFT.equals(handover.receive(waitMs)) || handover.isEnded();
     }
 
     /**
--- a/gateway/src/main/java/marlford/gateway/upgrade/Successor.java
+++ b/gateway/src/main/java/marlford/gateway/upgrade/HandoverServer.java
@@ -17,7 +17,7 @@
  * docs/design/upgrade.md. If the new process does not report in time that it serves, or its connection ends before it has
  * served for {@value #PROBATION_MS} ms, this process serves again.
  */
-public final class Successor implements Closeable {
+public final class HandoverServer implements Closeable {
     static final String VERSION_LINE = "marlford-upgrade 1";
     static final String TAKE = "take";
     static final String TAKEN = "taken";
@@ -71,12 +71,12 @@
      * @param path of the socket; an existing file is replaced
      * @param log receives one line for each step and for each failure
      */
-    public Successor(Path path, ServingProcess servingProcess, Consumer<String> log) {
+    public HandoverServer(Path path, ServingProcess servingProcess, Consumer<String> log) {
         this(path, servingProcess, log, PROBATION_MS);
     }
 
     /** As above, with a probation time in milliseconds. */
-    Successor(Path path, ServingProcess servingProcess, Consumer<String> log, long probationMs) {
+    HandoverServer(Path path, ServingProcess servingProcess, Consumer<String> log, long probationMs) {
         this.probationMs = probationMs;
         this.path = path;
         this.servingProcess = servingProcess;
--- a/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import marlford.gateway.net.Sockets.Message;
-import marlford.gateway.upgrade.Successor;
+import marlford.gateway.upgrade.HandoverServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -415,7 +415,7 @@
         Path tmp = Files.createDirectories(dir.resolve("tmp"));
         CountDownLatch replaced = new CountDownLatch(1);
         Node predecessor = Sockets.startNode(config);
-        try (Successor successor = new Successor(RuntimeDirectory.ofEarlierVersion(tmp.toString(), "n0").successorSocket(),
+        try (HandoverServer successor = new HandoverServer(RuntimeDirectory.ofEarlierVersion(tmp.toString(), "n0").successorSocket(),
                 predecessor.handoverSteps(() -> { }), line -> {
             if (line.equals("upgrade: the new process serves clients, and this process has stopped accepting them")) {
                 replaced.countDown();
--- a/gateway/src/test/java/marlford/gateway/net/TwoEventRaceTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/TwoEventRaceTest.java
@@ -30,7 +30,7 @@
 import marlford.gateway.net.Sockets.Message;
 import marlford.gateway.net.Sockets.RecordingServer;
 import marlford.gateway.start.StartBudget;
-import marlford.gateway.upgrade.Successor;
+import marlford.gateway.upgrade.HandoverServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -551,7 +551,7 @@
     void shutdownAndUpgradeCloseTheListenerOnce(boolean shutdownFirst) throws Exception {
         Node node = startNodeWithHosts(startHost(SocketTest::echo));
         int port = node.port();
-        Successor.ServingProcess place = node.handoverSteps(() -> { });
+        HandoverServer.ServingProcess place = node.handoverSteps(() -> { });
         Socket waiting = closeAfterTest(new Socket());
         node.loop.submit(() -> {
             node.clientServer.pauseAccepting();
--- a/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/UpgradeTest.java
@@ -32,8 +32,8 @@
 import marlford.gateway.net.Sockets.Message;
 import marlford.gateway.net.Sockets.RecordingServer;
 import marlford.gateway.start.StartBudget;
-import marlford.gateway.upgrade.Predecessor;
-import marlford.gateway.upgrade.Successor;
+import marlford.gateway.upgrade.HandoverClient;
+import marlford.gateway.upgrade.HandoverServer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -72,7 +72,7 @@
     }
 
     private void listenForSuccessor(Node node) throws IOException {
-        Successor successor = closeAfterTest(new Successor(socketPath(), node.handoverSteps(() -> { }), Node::log));
+        HandoverServer successor = closeAfterTest(new HandoverServer(socketPath(), node.handoverSteps(() -> { }), Node::log));
         successor.open();
     }
 
@@ -81,8 +81,8 @@
         return new StartBudget(() -> 0);
     }
 
-    private Predecessor connectToOldNode() throws Exception {
-        Predecessor found = Predecessor.find(socketPath(), Sockets.TIMEOUT_MS);
+    private HandoverClient connectToOldNode() throws Exception {
+        HandoverClient found = HandoverClient.find(socketPath(), Sockets.TIMEOUT_MS);
         assertNotNull(found);
         return closeAfterTest(found);
     }
@@ -218,7 +218,7 @@
         RecordingServer host = startHost(SocketTest::echo);
         Node oldNode = startOldNode(host);
         Node newNode = Sockets.createNode(config());
-        Predecessor link = connectToOldNode();
+        HandoverClient link = connectToOldNode();
         newNode.start(link, freshBudget());
         assertEquals("for a ", connectClient(newNode).send(view("a", Sockets.TIMEOUT_MS)).receive().text());
         newNode.stop();
@@ -249,7 +249,7 @@
             Node oldNode = startNode(config);
             listenForSuccessor(oldNode);
             Node newNode = Sockets.createNode(config);
-            Predecessor link = connectToOldNode();
+            HandoverClient link = connectToOldNode();
             newNode.start(link, freshBudget());
             awaitPeerMessageAt(peer, newNode);
             assertTrue(!oldNode.hasHeardFromPeers());
--- a/gateway/src/test/java/marlford/gateway/upgrade/ProcessHandoverTest.java
+++ b/gateway/src/test/java/marlford/gateway/upgrade/ProcessHandoverTest.java
@@ -41,7 +41,7 @@
     private final Deque<Closeable> resources = new ArrayDeque<>();
     private boolean quiesced;
 
-    private final Successor.ServingProcess servingProcess = new Successor.ServingProcess() {
+    private final HandoverServer.ServingProcess servingProcess = new HandoverServer.ServingProcess() {
         @Override
         public boolean handOver() {
             calls.add("release");
@@ -78,14 +78,14 @@
 
     /** Starts the running process's side. */
     private void startRunningProcess(long probationMs) throws IOException {
-        Successor running = new Successor(path, servingProcess, line -> { }, probationMs);
+        HandoverServer running = new HandoverServer(path, servingProcess, line -> { }, probationMs);
         resources.push(running);
         running.open();
     }
 
     /** Connects the new process's side, which must find the running process. */
-    private Predecessor connectNewProcess() throws Exception {
-        Predecessor found = Predecessor.find(path, PATIENCE_MS);
+    private HandoverClient connectNewProcess() throws Exception {
+        HandoverClient found = HandoverClient.find(path, PATIENCE_MS);
         assertNotNull(found);
         resources.push(found);
         return found;
@@ -115,7 +115,7 @@
     @Test
     void theStepsOfAHandoverHappenInOrder() throws Exception {
         startRunningProcess(0);
-        Predecessor predecessor = connectNewProcess();
+        HandoverClient predecessor = connectNewProcess();
         assertTrue(calls.isEmpty());
         assertTrue(predecessor.takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
@@ -130,7 +130,7 @@
     void theNewProcessLearnsThatClientsAreBeingSentAway() throws Exception {
         quiesced = true;
         startRunningProcess(NEVER_MS);
-        Predecessor predecessor = connectNewProcess();
+        HandoverClient predecessor = connectNewProcess();
         assertTrue(predecessor.takeOver(PATIENCE_MS));
         assertTrue(predecessor.wasQuiesced());
     }
@@ -139,7 +139,7 @@
     void aNewProcessThatEndsBeforeTakingOverChangesNothing() throws Exception {
         startRunningProcess(NEVER_MS);
         connectNewProcess().close();
-        Predecessor nextProcess = connectNewProcess();
+        HandoverClient nextProcess = connectNewProcess();
         assertTrue(nextProcess.takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
     }
@@ -147,12 +147,12 @@
     @Test
     void aNewProcessThatEndsBeforeServingIsReplacedByTheOldOne() throws Exception {
         startRunningProcess(NEVER_MS);
-        Predecessor predecessor = connectNewProcess();
+        HandoverClient predecessor = connectNewProcess();
         assertTrue(predecessor.takeOver(PATIENCE_MS));
         predecessor.close();
         assertEquals("release", nextCall());
         assertEquals("takeBack", nextCall());
-        Predecessor anotherAttempt = awaitRunningProcess();
+        HandoverClient anotherAttempt = awaitRunningProcess();
         assertTrue(anotherAttempt.takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
     }
@@ -160,12 +160,12 @@
     @Test
     void aNewProcessThatEndsDuringProbationIsReplacedByTheOldOne() throws Exception {
         startRunningProcess(NEVER_MS);
-        Predecessor predecessor = connectNewProcess();
+        HandoverClient predecessor = connectNewProcess();
         assertTrue(predecessor.takeOver(PATIENCE_MS));
         assertTrue(predecessor.reportServing(PATIENCE_MS));
         assertEquals("release", nextCall());
         assertEquals("leave", nextCall());
-        Successor newer = new Successor(path, servingProcess, line -> { }, NEVER_MS);
+        HandoverServer newer = new HandoverServer(path, servingProcess, line -> { }, NEVER_MS);
         newer.open(); // the new process opens its own socket at the path, and ends
         newer.close();
         predecessor.close();
@@ -175,9 +175,9 @@
     }
 
     /** The socket is bound again shortly after {@code resume}. */
-    private Predecessor awaitRunningProcess() throws Exception {
+    private HandoverClient awaitRunningProcess() throws Exception {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
-        for (Predecessor found = Predecessor.find(path, PATIENCE_MS);; found = Predecessor.find(path, PATIENCE_MS)) {
+        for (HandoverClient found = HandoverClient.find(path, PATIENCE_MS);; found = HandoverClient.find(path, PATIENCE_MS)) {
             if (found != null) {
                 resources.push(found);
                 return found;
@@ -189,11 +189,11 @@
 
     @Test
     void noProcessIsFoundWithoutASocketOrBehindAStaleOne() throws Exception {
-        assertNull(Predecessor.find(path, PATIENCE_MS));
-        Successor running = new Successor(path, servingProcess, line -> { }, NEVER_MS);
+        assertNull(HandoverClient.find(path, PATIENCE_MS));
+        HandoverServer running = new HandoverServer(path, servingProcess, line -> { }, NEVER_MS);
         running.open();
         running.close();
-        assertNull(Predecessor.find(path, PATIENCE_MS)); // the socket file exists, but no process listens
+        assertNull(HandoverClient.find(path, PATIENCE_MS)); // the socket file exists, but no process listens
     }
 
     @Test
@@ -201,7 +201,7 @@
         startRunningProcess(NEVER_MS);
         assertEquals("no: this is marlford-upgrade 1\n", read(sendRaw("marlford-upgrade 2\n")));
         assertTrue(calls.isEmpty());
-        Predecessor nextProcess = connectNewProcess();
+        HandoverClient nextProcess = connectNewProcess();
         assertTrue(nextProcess.takeOver(PATIENCE_MS));
     }
 
@@ -219,7 +219,7 @@
             }
         });
         otherProcess.start();
-        IOException e = assertThrows(IOException.class, () -> Predecessor.find(path, PATIENCE_MS));
+        IOException e = assertThrows(IOException.class, () -> HandoverClient.find(path, PATIENCE_MS));
         assertTrue(e.getMessage().contains("marlford-upgrade 9"), e.getMessage());
     }
 
@@ -230,7 +230,7 @@
         for (String input : new String[] {"\n", "x".repeat(1000), "a\n".repeat(50)}) {
             sendRaw(input);
         }
-        sendRaw(Successor.VERSION_LINE + "\nserving\n");
+        sendRaw(HandoverServer.VERSION_LINE + "\nserving\n");
         assertTrue(awaitRunningProcess().takeOver(PATIENCE_MS));
         assertEquals("release", nextCall());
         assertTrue(calls.isEmpty());
@@ -254,7 +254,7 @@
     void aLocalConnectFailureIsRetried() throws Exception {
         startRunningProcess(NEVER_MS);
         AtomicInteger failuresLeft = new AtomicInteger(3);
-        Predecessor predecessor = Predecessor.find(path, PATIENCE_MS, address -> {
+        HandoverClient predecessor = HandoverClient.find(path, PATIENCE_MS, address -> {
             if (failuresLeft.getAndDecrement() > 0) {
                 throw new SocketException("Too many open files in system");
             }
