--- a/gateway/src/test/java/marlford/gateway/net/BlockedHost.java
+++ b/gateway/src/test/java/marlford/gateway/net/BlockedHost.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A host that accepts no connection until {@link #startAccepting} is called. Its accept queue is full, so the system
- * drops further connection attempts and the caller's system retries them. Records what is sent to it after that and
- * echoes each request.
+ * A host that accepts no connection until {@link #startAccepting} is called. Until then its accept queue is full, so
+ * the kernel drops further connection attempts, and the client's kernel repeats them. Once it accepts, it records the
+ * start line of each request and echoes the request.
  */
 final class BlockedHost implements Closeable {
     private static final int QUEUE_FULL_TIMEOUT_MS = 200; // a loopback connect that takes longer means that the accept queue is full
 
-    final List<String> requestLines = new CopyOnWriteArrayList<>(); // start lines of the requests received since it accepts
+    final List<String> requestLines = new CopyOnWriteArrayList<>(); // start lines of the requests received
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
 
@@ -40,7 +40,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Starts to accept, first the connections that wait in the queue, and answers each request with its trace id. */
+    /** Starts to accept, first the connections that wait in the queue, and echoes each request. */
     void startAccepting() {
         Thread acceptor = new Thread(() -> {
             try {
--- a/gateway/src/test/java/marlford/gateway/net/EventOrderTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/EventOrderTest.java
@@ -49,10 +49,11 @@
  * says so, and only the script advances the clock. Each step runs until both event loops are idle before the next one
  * starts.
  *
- * <p>What hosts and client received is checked against the rules: a client that stayed connected gets exactly one
- * answer, and the right one; nothing that may have run is sent again unless it may run twice; no attempt is sent
- * while another is in flight; nothing that may have run is refused; nothing is sent to a host after its drain grace,
- * nor after the client disconnected or the gateway abandoned its requests.
+ * <p>The test checks what hosts and client received: a client that stayed connected gets exactly one answer, and the
+ * body of a 200 is the one that the host sent for this request; nothing that may have run is sent again unless it may
+ * run twice; no attempt is sent while another is in flight; a request that may have run is refused only if it is
+ * repeatable; nothing is sent to a host after its drain grace, nor after the client disconnected or the gateway ended
+ * its requests.
  */
 class EventOrderTest {
     private static final int NODE_PORT = 2001; // in-memory address
@@ -75,27 +76,30 @@
     private enum Event {
         /** Pending connections to hosts are established. */
         CONNECTED,
-        /** The host that received the newest attempt responds. */
+        /** The host of the newest attempt in flight responds; nothing happens if there is none. */
         RESPONSE,
-        /** That host sends a malformed response and keeps its connection. */
+        /** Like {@link #RESPONSE}, but the response is malformed; the host keeps the connection open. */
         MALFORMED_RESPONSE,
-        /** That host responds that the request never ran. */
+        /** Like {@link #RESPONSE}, but the response says that the request never ran. */
         NEVER_RAN,
-        /** That host closes its connection. */
+        /** The host of the newest attempt in flight closes its connection; nothing happens if there is none. */
         RESET,
         /** A second response on the connection that carried the last one. */
         DUPLICATE_RESPONSE,
-        /** The decision engine cancels the attempts of the request. */
+        /** All attempts of the request are cancelled in the node; nothing happens for {@link Effect#ONCE}. */
         CANCEL,
         /** The client's deadline expires. */
         DEADLINE,
         /** The client disconnects. */
         CLIENT_DISCONNECTS,
-        /** The host list marks the host of the newest attempt as draining. */
+        /**
+         * The host list marks the host of the newest attempt in flight as draining: host 0 if there is none, all hosts
+         * while none has received a request.
+         */
         HOST_DRAINS,
         /** More time passes than the grace period of a draining host. */
         GRACE_EXPIRES,
-        /** The process is shutting down: each answer is the last on its connection. */
+        /** From now on every answer closes its client connection, as while the process shuts down. */
         ANSWERS_ARE_LAST,
         /** The gateway abandons all open requests. */
         ABANDON_ALL
@@ -247,8 +251,9 @@
         private final NioEventLoopGroup nodeGroup = new NioEventLoopGroup(1);
         private final Node node;
         private final Channel client;
-        private final List<Arrival> arrivals = new ArrayList<>(); // confined to the peers' event loop
-        private final ByteArrayOutputStream received = new ByteArrayOutputStream(); // confined to the peers' event loop
+        // These two are written on the peers' event loop; the test thread reads them between steps, after settle().
+        private final List<Arrival> arrivals = new ArrayList<>();
+        private final ByteArrayOutputStream received = new ByteArrayOutputStream();
         private final double[] drainStartMs = {Double.NaN, Double.NaN, Double.NaN};
         private final List<String> violations = new ArrayList<>();
         private boolean clientGone;
@@ -482,8 +487,9 @@
     }
 
     /**
-     * Two events in every order, with the connects completing at each position among them; later connects are delayed
-     * too, or complete at once.
+     * All pairs of events other than {@link Event#CONNECTED}, in both orders and also of the same event, with
+     * {@code CONNECTED} at each position among them. Connects that start after it complete at once, or are delayed until
+     * the end of the script.
      */
     @ParameterizedTest
     @EnumSource(Effect.class)
@@ -502,9 +508,9 @@
     }
 
     /**
-     * Three events in every order once the connection is established; their consequences may need further
-     * connections. The event that makes answers the last on their connections is covered by the pairs only, since it
-     * changes the headers of the answers.
+     * Three different events in every order after a first {@link Event#CONNECTED}, which may occur again as the second
+     * or third of them. Further connects complete at once. {@link Event#ANSWERS_ARE_LAST} is covered by the pairs only,
+     * since it changes the headers of the answers.
      */
     @ParameterizedTest
     @EnumSource(Effect.class)
--- a/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/GatewayProcessTest.java
@@ -82,7 +82,10 @@
         return withChosenPort(Sockets.config(discovery, "127.0.0.1:0"));
     }
 
-    /** The configuration with the chosen port as the listen address. */
+    /**
+     * The configuration with the chosen port in the listen address. The search text ends within the next key,
+     * {@code discovery}, so that no other address matches.
+     */
     private String withChosenPort(String config) {
         return config.replace("127.0.0.1:0\", \"disc", "127.0.0.1:" + port + "\", \"disc");
     }
@@ -135,7 +138,10 @@
         awaitReady();
     }
 
-    /** Otherwise the first requests run interpreted code, which on a fraction of a core serves only half of them. */
+    /**
+     * Without a warm-up the first requests would run in interpreted code, and with a fraction of a core only about half
+     * of them would be served. Checks that the log reports the warm-up once the process is ready.
+     */
     @Test
     void isReadyOnlyAfterWarmUp() throws Exception {
         startServing();
@@ -166,7 +172,10 @@
         }
     }
 
-    /** Other gateways need the ledgers that the process holds until it can be started again. */
+    /**
+     * A process that has heard from other gateways stays until its scheduled exit time even when it has no clients,
+     * because they use the quota ledgers that it holds. Checks the log line and that the process then exits.
+     */
     @Test
     void withPeersItKeepsLedgersUntilTheShutdownTimeEnds() throws Exception {
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -174,6 +183,7 @@
             String ownAddress = "127.0.0.1:" + port;
             start(withChosenPort(Sockets.config("127.0.0.1:1", ownAddress, ownAddress, "127.0.0.1:" + peer.getLocalPort())));
             awaitReady();
+            // only a gateway that has received a message from a peer stays
             peer.send(new DatagramPacket(new byte[] {1}, 1, InetAddress.getLoopbackAddress(), port));
             process.destroy();
             awaitLog("drained: the process stays until its scheduled exit time");
@@ -206,8 +216,8 @@
     }
 
     /**
-     * Under nohup SIGHUP is ignored from before the start and the virtual machine leaves it ignored, so the gateway
-     * kept the discovery agent of its first file for good and broke the drain rule.
+     * Under nohup, SIGHUP is already ignored when the process starts, and the virtual machine leaves it ignored. The
+     * gateway then once kept the discovery agent of its first file, and so went on sending to draining hosts.
      */
     @Test
     void aProcessStartedWithSighupIgnoredStillFollowsItsFile() throws Exception {
@@ -222,8 +232,8 @@
     }
 
     /**
-     * The virtual machine exits on a SIGHUP that arrives before the program handles it, with status 129 and without a
-     * log line.
+     * The run command of the deployment ignores SIGHUP in the shell that starts java. Without that, a SIGHUP that
+     * arrives before the program handles it ends the virtual machine with status 129 and without a log line.
      */
     @Test
     void sighupBeforeTheProgramHandlesItDoesNotEndTheStart() throws Exception {
@@ -233,7 +243,7 @@
         start(config("127.0.0.1:1"), run.substring(run.indexOf('"') + 1, run.indexOf("exec java")));
         Path name = Path.of("/proc", Long.toString(process.pid()), "comm");
         while (!Files.readString(name).startsWith("java")) {
-            assertTrue(process.isAlive()); // the shell still runs
+            assertTrue(process.isAlive()); // waits until the shell has executed java
         }
         reloadWith(config("127.0.0.1:1"));
         awaitReady();
@@ -255,7 +265,10 @@
         }
     }
 
-    /** A truncated file, a missing file, and two files within a second are each followed without a further signal. */
+    /**
+     * After a truncated file, after a missing file, and after two replacements within a second, the process uses the
+     * current file without a further signal.
+     */
     @Test
     void aTruncatedOrMissingFileIsReadAgain() throws Exception {
         try (Sockets.DiscoveryAgent first = new Sockets.DiscoveryAgent(Sockets.list(7, true));
@@ -303,10 +316,15 @@
         }
     }
 
+    /** Like {@link #startSecondProcess(String, String)}, with {@code config.json}. */
     private Process startSecondProcess(String log) throws IOException {
         return startSecondProcess(log, "config.json");
     }
 
+    /**
+     * Starts the program, as the first or as a further process, without a descriptor limit and with a {@code TMPDIR}
+     * that the processes of one test share.
+     */
     private Process startSecondProcess(String log, String config) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(JAVA, "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
                 "marlford.gateway.Main", "serve");
@@ -353,8 +371,9 @@
     }
 
     /**
-     * The new process had taken over peer address and ledgers when it received SIGTERM; the running process once had
-     * neither until 3.4 s later.
+     * A new process receives SIGTERM after it has taken over the peer address and the ledgers: it exits without
+     * serving, and the running process takes them back. The running process once did so only after a further 3.4 s;
+     * the test does not check the time.
      */
     @Test
     void sigtermDuringAnUpgradeReturnsTheServingRoleAtOnce() throws Exception {
@@ -404,8 +423,8 @@
     }
 
     /**
-     * A running process of an earlier version listens for its successor under its name alone, and can still be
-     * replaced.
+     * The file name of an earlier version's handover socket has only the gateway's name in it, not its address. A
+     * running process with such a socket can still be replaced.
      */
     @Test
     void aProcessOfAnEarlierVersionIsReplaced() throws Exception {
@@ -430,14 +449,15 @@
     }
 
     /**
-     * Leaves aside the line about an ignored SIGHUP, which appears when the tests themselves were started with SIGHUP
-     * ignored, as under nohup.
+     * An invalid configuration ends the process with status 1 and one line on standard error, which names a missing
+     * field.
      */
     @Test
     void anInvalidConfigurationEndsTheProcessWithOneLine() throws Exception {
         start("{\"name\": \"n0\"}");
         assertTrue(process.waitFor(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(1, process.exitValue());
+        // The filtered line appears when the tests themselves were started with SIGHUP ignored, as under nohup.
         List<String> lines = Files.readAllLines(dir.resolve("log")).stream()
                 .filter(l -> !l.startsWith("deckfall: SIGHUP is ignored")).toList();
         assertEquals(1, lines.size(), lines.toString());
--- a/gateway/src/test/java/marlford/gateway/net/Sockets.java
+++ b/gateway/src/test/java/marlford/gateway/net/Sockets.java
@@ -28,7 +28,7 @@
  * chosen by the system.
  */
 final class Sockets {
-    static final int TIMEOUT_MS = 30_000; // upper bound for every event that must occur
+    static final int TIMEOUT_MS = 30_000; // longest wait for an event that must occur; also the time of requests that must not expire
 
     private Sockets() { }
 
@@ -151,7 +151,10 @@
         }
     }
 
-    /** A discovery agent with one full host list; each watch is held open until a further update is queued. */
+    /**
+     * A discovery agent with one full host list. A watch, which is a request with {@code from=}, is answered when a test
+     * queues an update.
+     */
     static final class DiscoveryAgent implements Closeable {
         final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         final RecordingServer server;
--- a/gateway/src/test/java/marlford/gateway/net/StreamingEventOrderTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/StreamingEventOrderTest.java
@@ -35,11 +35,12 @@
 /**
  * Plays a long request body and a long response through many orders of what client, host and gateway do: parts,
  * closes, cancelled attempts, an expired drain. All channels are in memory, each step runs until both event loops are
- * idle before the next one starts, and no clock is read, so each script is deterministic.
+ * idle before the next one starts, and no script waits for a time limit. A script has the same result each time, as
+ * long as the machine is fast enough that no time limit expires.
  *
- * <p>After the script everything still open is completed, and rule 1 is checked against what the client received: a
- * client that sent the whole request and stayed connected has one whole answer, unless a response had begun to arrive
- * and its host broke it off.
+ * <p>After the script everything still open is completed. Then a client that sent its whole request and stayed
+ * connected must have received exactly one complete answer, except where it received a part of a response and the host
+ * closed the connection within that response.
  */
 class StreamingEventOrderTest extends SocketTest {
     private static final int BODY_BYTES = 150_000; // more than the gateway buffers, sent in three parts
@@ -56,7 +57,10 @@
         CLIENT_PART,
         /** The client disconnects. */
         CLIENT_DISCONNECT,
-        /** The host sends the next part of a long response on the newest connection. */
+        /**
+         * The host sends the next part of a long response: the first part on the newest connection, later parts on the
+         * same one.
+         */
         HOST_PART,
         /** The host responds that the request never ran. */
         HOST_NEVER_RAN,
@@ -68,7 +72,7 @@
         REFUSE,
         /** The gateway abandons everything open, as at the end of a drain. */
         ABANDON_ALL,
-        /** The gateway closes client connections after their current answers. */
+        /** From now on every answer closes its client connection, as while the process shuts down. */
         CLOSE_CONNECTIONS
     }
 
@@ -87,7 +91,11 @@
     private Channel client;
     private int scriptCount;
 
-    /** Sends each request up to {@value #MAX_ATTEMPTS} times while it never ran; scripts add further actions. */
+    /**
+     * Sends a request again, up to {@value #MAX_ATTEMPTS} attempts in total, when the outcome of the last attempt shows
+     * that it never ran and is not {@link Outcome#MOOT}. Otherwise refuses a request whose last attempt never ran, and
+     * fails one whose last attempt may have run. Scripts add further actions.
+     */
     private static final class ScriptedEngine implements NoOpEngine {
         private final Actions actions;
         private String id;
@@ -384,8 +392,8 @@
     }
 
     /**
-     * A pipelined request has already been read here: its connection is not idle, although none of the request is
-     * served yet.
+     * The second of two pipelined requests has been read but not started when the first is answered: the connection
+     * has no open request at that moment, but it is not idle and must not be closed.
      */
     @Test
     void aPipelinedRequestSurvivesTheClosingOfIdleConnections() throws Exception {
--- a/gateway/src/test/java/marlford/gateway/net/TwoEventRaceTest.java
+++ b/gateway/src/test/java/marlford/gateway/net/TwoEventRaceTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Race conditions between two events. Each test forces the order that once failed; no test depends on chance. */
+/** Race conditions between two events. A test forces the order that once failed, unless its comment says otherwise. */
 class TwoEventRaceTest extends SocketTest {
     /** A host that echoes and records the connection on which each request arrives. */
     private RecordingServer recordingHost(List<Socket> connections) throws IOException {
@@ -132,8 +132,8 @@
 
     /**
      * The event loop is busy while a response arrives and the time limit of its attempt expires, so the timer task is
-     * queued ahead of the read. The same holds for a response whose first part came in time and that then seemed to
-     * stall.
+     * queued ahead of the read. Neither a response that is completely in the socket nor one whose first part was read
+     * in time may count as timed out.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -165,8 +165,10 @@
     private static final int CLOSE_TIMEOUT_S = 5; // allows for a busy machine; only a faulty gateway takes this long
 
     /**
-     * The engine was once notified of a malformed response while the connection was still open, so that the attempt
-     * which it sent in that call ran beside the first (rule 2, where settings allow no second copy).
+     * The engine was once notified of a malformed response while the connection was still open. An attempt that it
+     * sent from that notification then ran concurrently with the first one, which is forbidden unless the settings
+     * allow concurrent attempts. The engine of this test only checks that the connection is closed; it sends no
+     * second attempt.
      */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 twohundred\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nno length",
@@ -176,7 +178,7 @@
         AtomicReference<Outcome> outcome = new AtomicReference<>();
         AtomicReference<Boolean> closedBeforeEvent = new AtomicReference<>();
         Node node = startNodeWithHosts(host, actions -> new BlockingUntilClose(actions, host, outcome, closedBeforeEvent));
-        // A response that is too long can't be passed to a client of HTTP before chunked encoding and lengths.
+        // None of these responses is passed on: the engine fails the request, and the client gets 502.
         assertEquals(502, connectClient(node).send(view("v", Sockets.TIMEOUT_MS)).receive().status());
         assertEquals(Outcome.SPOILT, outcome.get());
         assertTrue(closedBeforeEvent.get(), "the connection of the first attempt was still open");
@@ -185,8 +187,9 @@
     // ---- connections to hosts that take long to be established
 
     /**
-     * The grace period of a draining host may have ended when a pending connection is established; nothing is written
-     * on it then.
+     * While a request waits for a connection, its host starts to drain, is gone, or has restarted at another address
+     * (the case "ready"). Once the connection is established, nothing is written on it, and the request is sent to
+     * another address. This includes a draining host because its grace period may have ended in the meantime.
      */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "ready"})
@@ -234,8 +237,8 @@
     // ---- clients that disconnect while their requests are queued
 
     /**
-     * 200 clients disconnect in one burst, by FIN and by RST. A concurrency slot that is released later goes to other
-     * requests.
+     * 200 clients whose requests are queued disconnect in one burst, all by FIN or all by RST. None of their requests
+     * is sent when concurrency slots are released later.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -281,8 +284,8 @@
     // ---- idle connections
 
     /**
-     * The host may be closing the connection at that moment. The connection has been idle too long, but the periodic
-     * sweep has not reached it yet.
+     * A connection that has been idle for more than 0.6 of {@code conn_idle_ms} (here 12 of 20 s) is not reused,
+     * because the host may be closing it. The periodic sweep has not closed it yet.
      */
     @Test
     void aConnectionIdleForTooLongIsNotReused() throws Exception {
@@ -309,7 +312,9 @@
 
     /**
      * A second response that a host sends while the next request is on its way was once served to the client of that
-     * request.
+     * request. Here less than {@link HostClient#MIN_REST_MS} passes between the first and the last request, so each
+     * one needs a new connection. The test checks the text of each response and the number of requests that the host
+     * received; it does not count distinct connections.
      */
     @Test
     void aSecondResponseThatCrossesTheNextRequestIsDiscarded() throws Exception {
@@ -349,8 +354,8 @@
     // ---- clients from which the gateway does not read
 
     /**
-     * The client's FIN is behind pipelined requests, of which the gateway reads only a limited number: none of them
-     * is sent on.
+     * The client's FIN follows pipelined requests, of which the gateway reads ahead only a limited number. Of these
+     * requests only the first, which is in flight when the client disconnects, reaches the host.
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 16, 17, 40, 60})
@@ -414,8 +419,8 @@
     }
 
     /**
-     * A client that neither closes its connection nor stops sending is closed after a time, or after a number of
-     * bytes.
+     * A client that leaves its connection open after the last response is disconnected: after a time limit if it
+     * sends nothing, after a number of bytes if it keeps sending.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -433,7 +438,7 @@
                 }
             });
         } else {
-            clock.advance(CLIENT_TIME_MS / 10.0);
+            clock.advance(CLIENT_TIME_MS / 10.0); // 6 s, beyond LingeringClose.MAX_LINGER_MS
         }
         Sockets.await(() -> node.loop.submit(node::connectionCount).get() == 0, "the gateway closes the connection");
     }
@@ -441,8 +446,8 @@
     // ---- shutdown of the process
 
     /**
-     * A request that arrived after everything was abandoned once waited for its deadline, which the process did not
-     * outlive.
+     * A request that arrives after the drain has ended all requests is refused with 503. It was once kept open until
+     * its deadline, but the process exited before that.
      */
     @Test
     void aRequestAfterTheEndOfADrainIsAnsweredAtOnce() throws Exception {
@@ -457,7 +462,10 @@
         assertEquals(1, host.requests.size());
     }
 
-    /** A queued request that was never sent can be retried at another gateway; it was once answered as failed. */
+    /**
+     * A queued request that was never sent can be retried at another gateway; it was once answered as failed. The
+     * requests that the host received and did not answer get the same response, 429, here.
+     */
     @Test
     void requestsQueuedAtShutdownAreRefusedWithRetryAfter() throws Exception {
         RecordingServer host = startHost((m, s) -> { });
@@ -545,7 +553,10 @@
         assertTrue(node.awaitDrained(Sockets.TIMEOUT_MS));
     }
 
-    /** Shutdown and handover to another process, in either order: a connection in the accept queue is served once. */
+    /**
+     * Whether shutdown or the handover to another process stops accepting first, a connection in the accept queue is
+     * served and the node has no listener afterwards.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void shutdownAndUpgradeCloseTheListenerOnce(boolean shutdownFirst) throws Exception {
@@ -574,8 +585,9 @@
     // ---- the host list
 
     /**
-     * After a stall the event loop finds the response in the socket and the time limit of the call expired, in either
-     * order.
+     * After a stall the event loop finds both that the discovery response is in the socket and that the time limit of
+     * the call to the discovery agent has expired: the response is used. The test does not force the order in which
+     * the event loop handles the two.
      */
     @Test
     void aDiscoveryResponseReadLateIsNotTimedOut() throws Exception {
@@ -603,7 +615,7 @@
         assertTrue(called.await(Sockets.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         node.loop.submit(() -> {
             releaseResponse.countDown();
-            double end = node.clock.now() + 1500; // beyond the time limit of a call for a full list
+            double end = node.clock.now() + 1500; // beyond the time limit of a call for a full list, see PollingBackoff
             while (node.clock.now() < end) {
                 Thread.onSpinWait();
             }
